--- a/crates/gateway/src/cluster.rs
+++ b/crates/gateway/src/cluster.rs
@@ -39,7 +39,7 @@
 
 impl Gateway {
     /// Greets the other daemons again and again.
-    pub(crate) async fn keep_greeting(self: Rc<Self>) {
+    pub(crate) async fn send_greetings_periodically(self: Rc<Self>) {
         let mut round = 0_u64;
         loop {
             self.note_suspension();
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -95,7 +95,7 @@
         spawn_local(Rc::clone(&gateway).keep_updating_leaves());
         spawn_local(Rc::clone(&gateway).keep_quarantine_on_disk(folder));
     }
-    spawn_local(Rc::clone(&gateway).keep_greeting());
+    spawn_local(Rc::clone(&gateway).send_greetings_periodically());
     spawn_local(Rc::clone(&gateway).keep_proving());
     spawn_local(Rc::clone(&gateway).keep_passing_on());
     spawn_local(Rc::clone(&gateway).keep_quarantine());
