--- a/crates/gateway/src/documents.rs
+++ b/crates/gateway/src/documents.rs
@@ -226,7 +226,7 @@
     }
 
     /// Asks the leader again and again whether the document in force is the newest.
-    pub(crate) async fn keep_proving(self: Rc<Self>) {
+    pub(crate) async fn refresh_proof_periodically(self: Rc<Self>) {
         loop {
             let is_answered = self.prove_once().await;
             self.note_freshness();
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -96,7 +96,7 @@
         spawn_local(Rc::clone(&gateway).keep_quarantine_on_disk(folder));
     }
     spawn_local(Rc::clone(&gateway).send_greetings_periodically());
-    spawn_local(Rc::clone(&gateway).keep_proving());
+    spawn_local(Rc::clone(&gateway).refresh_proof_periodically());
     spawn_local(Rc::clone(&gateway).keep_passing_on());
     spawn_local(Rc::clone(&gateway).keep_quarantine());
     spawn_local(serve_callers(Rc::clone(&gateway), callers));
