--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -242,7 +242,7 @@
     }
 
     /// As the leader, replaces voters that are lost; as a replica outside, keeps asking.
-    pub(crate) async fn keep_voters(self: Rc<Self>) {
+    pub(crate) async fn maintain_voters(self: Rc<Self>) {
         loop {
             sleep(VOTERS_EVERY).await;
             self.review_voters();
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -91,7 +91,7 @@
         let replica = ReplicaDriver::new(gateway.own.clone(), &folder, reports);
         *gateway.replica.borrow_mut() = Some(replica);
         spawn_local(Rc::clone(&gateway).run_replica(to_loop));
-        spawn_local(Rc::clone(&gateway).keep_voters());
+        spawn_local(Rc::clone(&gateway).maintain_voters());
         spawn_local(Rc::clone(&gateway).keep_updating_leaves());
         spawn_local(Rc::clone(&gateway).keep_quarantine_on_disk(folder));
     }
