--- a/crates/gateway/src/clock_tests.rs
+++ b/crates/gateway/src/clock_tests.rs
@@ -103,10 +103,10 @@
     run_for(Duration::from_secs(1));
     gateway.documents.borrow_mut().prove(gateway.now());
     run_for(Duration::from_millis(100));
-    assert!(gateway.is_fresh() && gateway.is_well_proved());
+    assert!(gateway.is_fresh() && gateway.has_recent_proof());
     suspend_for(Duration::from_secs(8));
     assert!(!gateway.is_fresh(), "a key may have been taken away meanwhile");
-    assert!(!gateway.is_well_proved(), "callers are not sent here");
+    assert!(!gateway.has_recent_proof(), "callers are not sent here");
     gateway.documents.borrow_mut().prove(gateway.now());
     assert!(gateway.is_fresh(), "a new proof is as good as ever");
 }
--- a/crates/gateway/src/documents.rs
+++ b/crates/gateway/src/documents.rs
@@ -125,7 +125,7 @@
     }
 
     /// Returns whether the document was proved current so lately that callers may be sent here.
-    pub(crate) fn is_well_proved(&self) -> bool {
+    pub(crate) fn has_recent_proof(&self) -> bool {
         self.proof_age().is_some_and(|age| age < WELL_PROVED)
     }
 
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -81,7 +81,7 @@
     /// Returns whether this daemon serves callers with a document that is proved current.
     pub fn is_ready(&self) -> bool {
         let serves = *self.lifecycle.borrow() == Lifecycle::Serving;
-        serves && self.active_document().is_some() && self.is_fresh() && self.is_well_proved()
+        serves && self.active_document().is_some() && self.is_fresh() && self.has_recent_proof()
     }
 
     /// Returns whether this daemon has been asked to end.
