--- a/crates/gateway/src/peers/mesh.rs
+++ b/crates/gateway/src/peers/mesh.rs
@@ -1,4 +1,6 @@
-//! The connections to the other daemons.
+//! Maintains the connections to the other daemons.
+//!
+//! Messages are sent as frames: a length in four bytes, little-endian, and the encoded message.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -17,53 +19,53 @@
 use super::PeerMessage;
 use crate::net;
 
-/// Messages that wait for one connection: what is sent in some seconds of a busy leader.
-const LINK_QUEUE: usize = 2_048;
+/// The maximum number of messages queued for one connection: what a busy leader sends in some seconds.
+const LINK_QUEUE_CAPACITY: usize = 2_048;
 
-/// How long a connection may take to come about: a hundred round trips between data centres,
-/// and two retransmissions of a lost first packet would be too late anyway.
-const CONNECT_PATIENCE: Duration = Duration::from_millis(400);
+/// The time-out for establishing a connection. It allows a hundred round trips between data centres;
+/// a connection after two retransmissions of a lost first packet would be too late in any case.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The pause after a failed connection.
-const RECONNECT_AFTER: Duration = Duration::from_millis(150);
+/// The delay after a failed connection.
+const RECONNECT_DELAY: Duration = Duration::from_millis(150);
 
-/// A connection that lasted this long and is lost is made again at once, and what waits for it goes
-/// out: whoever waits for an answer has 90 ms. Any other daemon that closes what it has just accepted
-/// is left alone for a while.
-const LASTED: Duration = Duration::from_millis(1_000);
+/// A lost connection that lasted at least this long is re-established at once and its queued messages
+/// are sent, because a caller waits only 90 ms for an answer. After a shorter connection, such as to
+/// a daemon that closes connections right after it accepts them, `RECONNECT_DELAY` applies.
+const STABLE_CONNECTION_TIME: Duration = Duration::from_millis(1_000);
 
-/// Bytes written at a time.
-const WRITE_BYTES: usize = 64 * 1024;
+/// A write collects queued frames up to this size.
+const MAX_WRITE_BYTES: usize = 64 * 1024;
 
-/// The longest message: a routing document of four megabytes and a snapshot piece both fit.
+/// The size limit of a message; a routing document of four megabytes and a snapshot chunk both fit.
 const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 
-/// A connection on which nothing comes for this long is given up; greetings come many times as
-/// often.
-const READ_PATIENCE: Duration = Duration::from_secs(12);
+/// A connection that receives nothing for this long is closed; greetings arrive many times as often.
+const READ_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// How often the receiving side of a connection says that it still receives. A connection may go silent
-/// for good without an error, and what was written to it then gets nowhere.
-const RECEIPT_EVERY: Duration = Duration::from_millis(900);
+/// The minimum interval between two receipts, with which the receiver of a connection confirms that
+/// data still arrives. A connection may stall for good without an error, and all data written to it
+/// is then lost.
+const RECEIPT_INTERVAL: Duration = Duration::from_millis(900);
 
-/// A receipt: one byte, of no further meaning.
+/// The content of a receipt: one byte whose value has no meaning.
 const RECEIPT: [u8; 1] = [1];
 
-/// How long a receipt is waited for once something was written. The next greeting brings one at the
-/// latest, so this bears one greeting lost and a daemon that stands still for a second.
-const RECEIPT_PATIENCE: Duration = Duration::from_millis(2_400);
+/// The time-out for a receipt after a write. The next greeting causes a receipt at the latest, so
+/// this tolerates one lost greeting and a daemon that is suspended for a second.
+const RECEIPT_TIMEOUT: Duration = Duration::from_millis(2_400);
 
-/// What the mesh tells its owner.
+/// Handles the events of the mesh.
 pub(crate) trait MeshEvents {
-    /// A message has come.
+    /// Handles a received message.
     fn on_message(&self, from: &InstanceId, message: PeerMessage);
-    /// The connection to a daemon is up; what is returned goes first.
+    /// Handles a new connection to a daemon; returns the messages to send on it first.
     fn on_link_up(&self, to: &InstanceId) -> Vec<PeerMessage>;
-    /// The connection to a daemon is gone.
+    /// Handles the loss of the connection to a daemon.
     fn on_link_down(&self, to: &InstanceId, reason: &str);
 }
 
-/// Sends to other daemons.
+/// Sends messages to other daemons over one connection each.
 pub(crate) struct PeerMesh {
     own: InstanceId,
     source: IpAddr,
@@ -93,13 +95,13 @@
         Rc::new(Self { own, source, links, events: RefCell::new(None), traffic })
     }
 
-    /// Names who is told of messages, and accepts connections.
+    /// Sets the handler of events, and starts to accept connections.
     pub(crate) fn start(self: &Rc<Self>, listener: TcpListener, events: Rc<dyn MeshEvents>) {
         *self.events.borrow_mut() = Some(Rc::clone(&events));
         spawn_local(accept(listener, events));
     }
 
-    /// Sends a message, or drops it where its receiver does not keep up.
+    /// Sends a message, or drops it if the queue of its connection is full.
     pub(crate) fn send(self: &Rc<Self>, to: &InstanceId, message: &PeerMessage) {
         self.send_frame(to, message.kind(), encode(message));
     }
@@ -127,15 +129,16 @@
         self.traffic.borrow_mut().entry(kind).or_default().add(frame.len());
         let mut links = self.links.borrow_mut();
         let link = links.entry(to.clone()).or_insert_with(|| {
-            let (sender, frames) = mpsc::channel(LINK_QUEUE);
+            let (sender, frames) = mpsc::channel(LINK_QUEUE_CAPACITY);
             spawn_local(run_link(Rc::clone(self), to.clone(), frames));
             sender
         });
-        // A full queue means that the other side has not read for seconds; senders repeat.
+        // A full queue means that the receiver has not read for seconds. The message is dropped, and
+        // its sender repeats it.
         let _ = link.try_send(frame);
     }
 
-    /// Ends the connection to a daemon that is not known any more.
+    /// Closes the connection to a daemon that has been removed from the roster.
     pub(crate) fn forget(&self, instance: &InstanceId) {
         self.links.borrow_mut().remove(instance);
     }
@@ -157,16 +160,16 @@
 async fn run_link(mesh: Rc<PeerMesh>, to: InstanceId, mut frames: mpsc::Receiver<Bytes>) {
     let Ok(address) = to.as_str().parse::<SocketAddr>() else { return };
     let mut was_up = true;
-    let mut is_resumed = false;
+    let mut reconnects_at_once = false;
     loop {
-        let first = if std::mem::take(&mut is_resumed) {
+        let first = if std::mem::take(&mut reconnects_at_once) {
             Bytes::new()
         } else {
-            // Wait for something to say.
+            // A connection is established only when there is a message to send.
             let Some(first) = frames.recv().await else { return };
             first
         };
-        let connected = timeout(CONNECT_PATIENCE, net::connect(address, Some(mesh.source))).await;
+        let connected = timeout(CONNECT_TIMEOUT, net::connect(address, Some(mesh.source))).await;
         let reason = match connected {
             Ok(Ok(stream)) => {
                 was_up = true;
@@ -178,9 +181,9 @@
                     }
                 }
                 greeting.extend_from_slice(&first);
-                let began = Instant::now();
+                let connected_at = Instant::now();
                 let reason = write_link(stream, greeting, &mut frames).await;
-                is_resumed = began.elapsed() >= LASTED;
+                reconnects_at_once = connected_at.elapsed() >= STABLE_CONNECTION_TIME;
                 reason
             }
             Ok(Err(error)) => error.to_string(),
@@ -194,16 +197,16 @@
         if frames.is_closed() {
             return;
         }
-        if is_resumed {
+        if reconnects_at_once {
             continue;
         }
-        sleep(RECONNECT_AFTER).await;
-        // What waited is stale by now; its senders repeat what still matters.
+        sleep(RECONNECT_DELAY).await;
+        // The queued messages are stale by now; senders repeat the messages that still matter.
         while frames.try_recv().is_ok() {}
     }
 }
 
-/// Writes frames until the connection breaks or goes silent; returns why it did.
+/// Writes frames until the connection fails or no receipt arrives in time; returns the reason.
 async fn write_link(
     mut stream: TcpStream,
     mut buffer: BytesMut,
@@ -211,7 +214,7 @@
 ) -> String {
     let mut receipt_due: Option<Instant> = None;
     loop {
-        while buffer.len() < WRITE_BYTES {
+        while buffer.len() < MAX_WRITE_BYTES {
             let Ok(frame) = frames.try_recv() else { break };
             buffer.extend_from_slice(&frame);
         }
@@ -219,19 +222,19 @@
             Ok(Ok(())) if buffer.is_empty() => {}
             Ok(Ok(())) => {
                 buffer.clear();
-                receipt_due.get_or_insert_with(|| Instant::now() + RECEIPT_PATIENCE);
+                receipt_due.get_or_insert_with(|| Instant::now() + RECEIPT_TIMEOUT);
             }
             Ok(Err(error)) => return error.to_string(),
-            Err(_) => return "the other side does not read".to_owned(),
+            Err(_) => return "write timed out: the peer does not read".to_owned(),
         }
         let mut receipts = [0_u8; 16];
         tokio::select! {
             frame = frames.recv() => match frame {
                 Some(frame) => buffer.extend_from_slice(&frame),
-                None => return "the daemon is not known any more".to_owned(),
+                None => return "the peer was removed from the roster".to_owned(),
             },
             read = stream.read(&mut receipts) => match read {
-                Ok(0) => return "the other side closed".to_owned(),
+                Ok(0) => return "the peer closed the connection".to_owned(),
                 Ok(_) => receipt_due = None,
                 Err(error) => return error.to_string(),
             },
@@ -244,7 +247,7 @@
 
 fn push_id(buffer: &mut BytesMut, id: &InstanceId) {
     let bytes = id.as_str().as_bytes();
-    // An id has at most 128 bytes.
+    // An instance id has at most 128 bytes.
     buffer.extend_from_slice(&[u8::try_from(bytes.len()).unwrap_or(u8::MAX)]);
     buffer.extend_from_slice(bytes);
 }
@@ -256,12 +259,12 @@
                 let events = Rc::clone(&events);
                 spawn_local(async move {
                     net::tune(&stream);
-                    // A connection that breaks is made again by its maker, who logs it.
+                    // The daemon that opened the connection logs a failure and reconnects.
                     let _ = read_link(stream, &*events).await;
                 });
             }
-            // Out of descriptors: others are closed meanwhile.
-            Err(_) => sleep(RECONNECT_AFTER).await,
+            // The process is out of file descriptors; some are released during the delay.
+            Err(_) => sleep(RECONNECT_DELAY).await,
         }
     }
 }
@@ -273,20 +276,21 @@
     let invalid = || std::io::Error::from(std::io::ErrorKind::InvalidData);
     let from: InstanceId =
         std::str::from_utf8(&id).ok().and_then(|id| id.parse().ok()).ok_or_else(invalid)?;
-    let mut receipted: Option<Instant> = None;
+    let mut last_receipt: Option<Instant> = None;
     loop {
-        let length = timeout(READ_PATIENCE, stream.read_u32_le()).await??;
+        let length = timeout(READ_TIMEOUT, stream.read_u32_le()).await??;
         let length = usize::try_from(length).unwrap_or(usize::MAX);
         if length > MAX_FRAME_BYTES {
             return Err(invalid());
         }
         let mut body = vec![0; length];
-        timeout(READ_PATIENCE, stream.read_exact(&mut body)).await??;
+        timeout(READ_TIMEOUT, stream.read_exact(&mut body)).await??;
         let message = postcard::from_bytes(&body).map_err(|_| invalid())?;
         events.on_message(&from, message);
-        if receipted.is_none_or(|at| at.elapsed() >= RECEIPT_EVERY) {
-            receipted = Some(Instant::now());
-            // One that does not fit now is followed by another; the writer ends what is broken.
+        if last_receipt.is_none_or(|at| at.elapsed() >= RECEIPT_INTERVAL) {
+            last_receipt = Some(Instant::now());
+            // A receipt that the socket buffer cannot take is skipped, as another follows. The writer
+            // closes a connection that has failed.
             let _ = stream.get_ref().try_write(&RECEIPT);
         }
     }
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -1,4 +1,6 @@
-//! What daemons say to each other.
+//! Defines the messages between daemons.
+//!
+//! Messages are encoded with postcard, so the order of fields and variants is part of the format.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,51 +18,52 @@
 use crate::endpoints::EndpointNotice;
 use crate::roster::{DaemonNote, LeafNote};
 
-/// The leader's answer to a question whether a routing document is current.
+/// The leader's answer to a query whether a routing document is current.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum FreshVerdict {
     /// The revision of the newest accepted document and the drained data centres, at the time of
     /// the answer.
     Newest(Option<RoutingRevision>, DrainRegister),
-    /// The one asked is not sure to lead.
+    /// The queried daemon does not hold the leader's lease.
     NotLeader,
 }
 
 /// The leader's answer to a proposed document.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum DocumentVerdict {
-    /// The log holds it.
+    /// The document is committed to the log, with this outcome.
     Done(RegisterOutcome),
-    /// The one asked does not lead; it may know who does.
+    /// The queried daemon does not lead; it returns the leader if it knows it.
     NotLeader(Option<InstanceId>),
-    /// The one asked led when it proposed it, and does not know what became of it.
+    /// The queried daemon lost leadership after it proposed the document, so the outcome is unknown.
     Lost,
 }
 
 /// The leader's answer to a proposal to drain or restore a data centre.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum DrainVerdict {
-    /// The log holds it.
+    /// The command is committed to the log, with this outcome.
     Done(DrainOutcome),
-    /// The one asked does not lead, or does not know the outcome.
+    /// The queried daemon does not lead, or does not know the outcome.
     Unknown,
 }
 
-/// A home's answer to a prompt.
+/// The answer to a request to place a prompt, from the home of the engines (the daemon that places
+/// prompts on them) or from a deputy (a daemon that places them while the home is away).
 pub(crate) type PlaceVerdict = Result<PromptPlan, SpareLack>;
 
-/// What became of a placed prompt.
+/// A change in the progress of a placed prompt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum ProgressNote {
-    /// Its first event has come.
+    /// The first event of its answer has arrived.
     Begun(PromptKey),
-    /// It has ended.
+    /// The prompt has ended.
     Ended(PromptKey),
-    /// An engine failed it.
+    /// This engine failed the prompt.
     Failed(EndpointStart),
 }
 
-/// A prompt that another home placed.
+/// A prompt in progress, reported to a home that did not place it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct PlacedPrompt {
     pub(crate) ask: PromptAsk,
@@ -68,7 +71,7 @@
     pub(crate) has_begun: bool,
 }
 
-/// The state that a leaf reports, from which its primary hub finds what is missing.
+/// The state that a leaf reports, from which its primary hub determines the missing updates.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct LeafState {
     /// The revision of the document in force.
@@ -84,7 +87,7 @@
 pub(crate) struct MemberLists {
     /// The hubs that are alive.
     pub(crate) hubs: Vec<(InstanceId, DataCentreId)>,
-    /// Who places prompts while the home is away.
+    /// The daemons that place prompts while the home is away.
     pub(crate) deputies: Vec<InstanceId>,
     /// Addresses for callers, by data centre.
     pub(crate) addresses: Vec<(DataCentreId, Vec<SocketAddr>)>,
@@ -106,61 +109,62 @@
     pub(crate) lists: Option<MemberLists>,
 }
 
-/// A message.
+/// A message between daemons.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) enum PeerMessage {
-    /// What the sender says of itself.
+    /// The sender's note about itself.
     Greeting(DaemonNote),
-    /// The sender is alive, and what it said last still holds.
+    /// The sender is alive, and its last note is still valid.
     Present {
         /// The start of the sender's process.
         boot: u64,
-        /// Of what it said last.
+        /// The edition of the sender's last note.
         edition: u32,
     },
-    /// What did the receiver say last? The sender has missed it.
+    /// Requests a full greeting, because the sender missed the receiver's last note.
     GreetingAsk,
-    /// Whom the sender knows.
+    /// Daemons that the sender knows.
     Known(Vec<InstanceId>),
-    /// The sender's process ends.
+    /// The sender's process is about to end.
     Farewell,
-    /// For the replica of the log.
+    /// A message for the receiver's replica of the log.
     Consensus(Envelope),
-    /// Is the document that the sender holds the newest one?
+    /// Queries whether the document that the sender holds is the newest.
     FreshAsk { token: u64, held: Option<RoutingRevision> },
-    /// The answer.
+    /// The answer to `FreshAsk`.
     FreshAnswer { token: u64, verdict: FreshVerdict },
-    /// A document that the log holds, and to whom the receiver passes it on.
+    /// A committed document, and the daemons to which the receiver forwards it.
     Document { text: RoutingText, pass_on: Vec<InstanceId> },
-    /// The sender has this document in force.
+    /// Reports the revision of the document that the sender has in force.
     InForce(RoutingRevision),
-    /// Take this document into the log.
+    /// Asks the leader to append this document to the log.
     Propose { token: u64, text: RoutingText },
-    /// What became of it.
+    /// The answer to `Propose`.
     ProposeAnswer { token: u64, verdict: DocumentVerdict },
-    /// What the sender has heard of endpoints.
+    /// State changes of endpoints that the sender has observed.
     Endpoints(Vec<EndpointNotice>),
-    /// The same, to be passed on to the daemons of the receiver's data centre.
+    /// As `Endpoints`, but the receiver forwards them to the daemons of its data centre.
     EndpointsRelayed(Vec<EndpointNotice>),
     /// Endpoints that have left for good.
     EndpointsLeft(Vec<EndpointStart>),
-    /// Endpoints that failed a request of the sender's.
+    /// Endpoints that failed a request from the sender.
     Faults(Vec<(EndpointStart, FaultKind)>),
-    /// Place this prompt: on all engines as their home, or on a part of them as a deputy.
+    /// Asks the receiver to place a prompt: on all engines as their home, or on one cell of the
+    /// engines as a deputy.
     PlaceAsk { token: u64, ask: PromptAsk, cell: Option<EngineCell> },
-    /// Where it goes.
+    /// The answer to `PlaceAsk`.
     PlaceAnswer { token: u64, verdict: PlaceVerdict },
-    /// Is an engine expected to be silent for so long?
+    /// Queries whether an engine is expected to be silent for this long.
     SilenceAsk { token: u64, endpoint: EndpointStart, silence: Duration },
-    /// Whether it is.
+    /// The answer to `SilenceAsk`.
     SilenceAnswer { token: u64, is_expected: bool },
-    /// What became of prompts that the receiver placed.
+    /// Progress of prompts that the receiver placed.
     Progress(Vec<ProgressNote>),
-    /// What the sender's callers still have under way, for a new home.
+    /// Prompts in progress of the sender's callers that the receiving home did not place.
     Placed(Vec<PlacedPrompt>),
-    /// Requests under which endpoints ended.
+    /// Quarantine cases: requests during which endpoints ended.
     Cases(Vec<CaseNews>),
-    /// Does the receiver know the same of such requests? If not, it says what it knows.
+    /// The hash of the sender's quarantine cases. A receiver with another hash sends its own cases.
     CaseHash { hash: u64, is_answer: bool },
     /// Asks the leader to append this command to the log.
     ProposeDrain { token: u64, command: DrainCommand },
@@ -168,7 +172,7 @@
     ProposeDrainAnswer { token: u64, verdict: DrainVerdict },
     /// The data centres that are drained.
     Drains(DrainRegister),
-    /// A leaf's question to its primary hub.
+    /// A leaf's status query to its primary hub.
     LeafAsk { token: u64, state: LeafState },
     /// The answer to `LeafAsk`.
     LeafAnswer { token: u64, status: HubStatus },
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -1,8 +1,8 @@
-//! Messages between daemons.
+//! Transports messages between daemons.
 //!
-//! Each daemon keeps one connection to every other that it knows and sends its messages there;
-//! answers come back on the other's own connection. A message that cannot be delivered is
-//! dropped: whatever matters is sent again by its sender.
+//! Each daemon keeps one outgoing connection to every other daemon that it knows and sends its
+//! messages there; answers arrive on the other daemon's own connection. A message that cannot be
+//! delivered is dropped, and senders repeat the messages that have to arrive.
 
 mod mesh;
 mod message;
