--- a/crates/gateway/src/replica/mod.rs
+++ b/crates/gateway/src/replica/mod.rs
@@ -1,5 +1,5 @@
-//! The replica of the log on a daemon with a disk: feeds the consensus node, applies what it
-//! commits to the replicated state, and starts over when the disk fails.
+//! Runs the replica of the log on a daemon with a disk: drives the consensus node, applies committed
+//! entries to the replicated state, and restarts the replica after a disk failure.
 
 mod state;
 #[cfg(test)]
@@ -25,58 +25,59 @@
 
 use state::ReplicatedState;
 pub(crate) use state::{CommandOutcome, LogCommand};
-use storage::StorageDuty;
 pub(crate) use storage::StorageReport;
+use storage::StorageThread;
 use watch::{LeaderWatch, RecoveryNote};
 
-/// The least time without a leader before an election; at most twice this. Longer than a lost
-/// packet takes to be sent again (200 ms), and several heartbeats; a replica that is slow for
-/// longer deposes nobody, since the others are asked before an election.
-const ELECTION: Duration = Duration::from_millis(400);
+/// The minimum time without a leader before an election; the maximum is twice this. It is longer than
+/// the retransmission of a lost packet (200 ms) and than several heartbeats. A replica that is slow
+/// for longer does not depose the leader, because a pre-vote precedes each election.
+const ELECTION_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Between heartbeats of a leader.
-const HEARTBEAT: Duration = Duration::from_millis(80);
+/// The interval between heartbeats of a leader.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(80);
 
-/// The most that two monotonic clocks differ in rate, in percent; real ones differ by less than
-/// a thousandth of that.
+/// The maximum difference in rate between two monotonic clocks, in percent. Real clocks differ by less
+/// than a thousandth of that.
 const DRIFT_PERCENT: u32 = 10;
 
-/// Bytes of entries, or of a snapshot, in one message.
-const MESSAGE_BYTES: usize = 256 * 1024;
+/// The size limit of the entries or the snapshot chunk in one message.
+const MAX_MESSAGE_BYTES: usize = 256 * 1024;
 
-/// Entries kept behind a snapshot: documents are large and a snapshot holds just one.
+/// Entries kept in the log before a snapshot. There are few because documents are large, while a
+/// snapshot holds only one document.
 const TRAILING_ENTRIES: u64 = 16;
 
-/// Packed bytes of documents between two snapshots.
-const SNAPSHOT_BYTES: usize = 4 * 1024 * 1024;
+/// A snapshot is taken after this many bytes of encoded commands, mostly packed documents.
+const SNAPSHOT_INTERVAL_BYTES: usize = 4 * 1024 * 1024;
 
-/// Entries between two snapshots.
-const SNAPSHOT_ENTRIES: u64 = 1_000;
+/// A snapshot is taken after this many entries.
+const SNAPSHOT_INTERVAL_ENTRIES: u64 = 1_000;
 
-/// A leader whose disk has not answered for this long lets another lead: well under the time in
-/// which a document has to be acknowledged, well over a sync of a slow disk.
-const DISK_PATIENCE: Duration = Duration::from_millis(500);
+/// A leader whose disk has not completed a sync for this long hands over leadership. This is well
+/// below the time in which a document has to be acknowledged, and well above a sync of a slow disk.
+const DISK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The pause before a replica whose disk failed is read again.
-const REOPEN_AFTER: Duration = Duration::from_millis(400);
+/// The delay before the disk is read again after a failure.
+const REOPEN_DELAY: Duration = Duration::from_millis(400);
 
-/// Who waits for a proposal.
+/// The daemon and call that wait for the outcome of a proposal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Proposer {
     pub(crate) instance: InstanceId,
     pub(crate) token: u64,
 }
 
-/// What became of a proposal.
+/// The outcome of a proposal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum ProposalEnd {
-    /// The log holds it.
+    /// The command is committed and applied.
     Done(CommandOutcome),
-    /// This replica leads no more, and cannot tell.
+    /// This replica lost leadership, so the outcome is unknown.
     Lost,
 }
 
-/// What a step of the replica brought about.
+/// The effects of a step of the replica.
 #[derive(Debug, Default)]
 pub(crate) struct ReplicaEffects {
     pub(crate) send: Vec<Envelope>,
@@ -90,7 +91,8 @@
 struct RunningReplica {
     node: ConsensusNode,
     batches: mpsc::Sender<PersistBatch>,
-    /// What may be sent once a batch is synced, and when the batch was handed over.
+    /// Messages that may be sent once their batch is synced, with the batch's sequence number and the
+    /// time at which the storage thread received the batch.
     unsynced: VecDeque<(u64, Vec<Envelope>, MonotonicTime)>,
     state: ReplicatedState,
     applied: LogIndex,
@@ -98,17 +100,17 @@
     proposals: BTreeMap<LogIndex, (LeaderTerm, Proposer)>,
 }
 
-/// What was read from the disk, before a node is made of it.
+/// The log as read from the disk, before a node is created from it.
 struct OpenedStore {
     recovered: RecoveredLog,
     batches: mpsc::Sender<PersistBatch>,
 }
 
-/// A disk that failed.
+/// A failure of the disk.
 #[derive(Debug)]
 pub(crate) struct DiskFailure {
     pub(crate) error: StorageError,
-    /// Whether the replica was running until then.
+    /// Whether the replica was running when the disk failed.
     pub(crate) was_running: bool,
 }
 
@@ -117,14 +119,14 @@
     instance: InstanceId,
     folder: PathBuf,
     reports: UnboundedSender<StorageReport>,
-    /// The way to a storage thread that reads the disk.
+    /// The channel to a storage thread that is still reading the disk.
     opening: Option<mpsc::Sender<PersistBatch>>,
     opened: Option<OpenedStore>,
     running: Option<RunningReplica>,
     reopen_at: MonotonicTime,
-    /// What a failed sync has left on the disk, to be cut before it is read again.
+    /// Data that a failed sync left on the disk, to be cut off before the disk is read again.
     suspects: SuspectTails,
-    /// What the last start found, until it is taken for the log.
+    /// The state recovered by the last start, until it has been logged.
     recovery: Option<RecoveryNote>,
     watch: LeaderWatch,
 }
@@ -149,14 +151,15 @@
         }
     }
 
-    /// Lets the disk be read if that has not been done; returns whether the replica runs now.
+    /// Starts to read the disk if that has not been done, and starts the replica after it; returns
+    /// whether the replica is running.
     ///
-    /// A replica whose disk is empty does not run before [`ReplicaDriver::found`] or
+    /// A replica whose disk is empty does not start before [`ReplicaDriver::found`] or
     /// [`ReplicaDriver::join`].
     ///
     /// # Errors
     ///
-    /// Returns an error when no storage thread can be started; a later call tries again.
+    /// Returns an error when the storage thread cannot be started; a later call retries.
     pub(crate) fn open(&mut self, now: MonotonicTime) -> Result<bool, StorageError> {
         if self.running.is_some() {
             return Ok(true);
@@ -177,15 +180,15 @@
         if self.opening.is_some() || now < self.reopen_at {
             return Ok(());
         }
-        self.reopen_at = now + REOPEN_AFTER;
-        let (batches, to_sync) = mpsc::channel();
-        let duty = StorageDuty {
+        self.reopen_at = now + REOPEN_DELAY;
+        let (batches, batch_receiver) = mpsc::channel();
+        let thread = StorageThread {
             folder: self.folder.clone(),
             suspects: self.suspects.clone(),
-            batches: to_sync,
+            batches: batch_receiver,
             reports: self.reports.clone(),
         };
-        duty.start().map_err(|source| StorageError::Io {
+        thread.start().map_err(|source| StorageError::Io {
             operation: "start the thread of",
             file: "the log".into(),
             source,
@@ -194,23 +197,23 @@
         Ok(())
     }
 
-    /// Returns whether the disk was read and has never held a replica.
+    /// Returns whether the disk has been read and has never held a replica.
     pub(crate) fn is_empty(&self) -> bool {
         self.opened.as_ref().is_some_and(|opened| opened.recovered.hard.identity.is_empty())
     }
 
-    /// Starts with an empty disk, to found a system with the given first voters.
+    /// Starts the replica on an empty disk to found a system with the given first voters.
     pub(crate) fn found(&mut self, now: MonotonicTime, first_voters: Vec<InstanceId>) {
         self.start(now, first_voters);
     }
 
-    /// Starts with an empty disk, to become a replica of the system that the contacts know.
+    /// Starts the replica on an empty disk to join the system of the contacts.
     pub(crate) fn join(&mut self, now: MonotonicTime, contacts: &[InstanceId]) {
         self.start(now, Vec::new());
         self.learn_contacts(contacts);
     }
 
-    /// Names replicas to ask for membership.
+    /// Adds replicas that this replica asks for membership.
     pub(crate) fn learn_contacts(&mut self, contacts: &[InstanceId]) {
         if let Some(running) = &mut self.running {
             running.node.learn_contacts(contacts.iter().cloned());
@@ -220,10 +223,10 @@
     fn start(&mut self, now: MonotonicTime, first_voters: Vec<InstanceId>) {
         let Some(OpenedStore { recovered, batches }) = self.opened.take() else { return };
         let config = ConsensusConfig {
-            election: ELECTION,
-            heartbeat: HEARTBEAT,
+            election: ELECTION_TIMEOUT,
+            heartbeat: HEARTBEAT_INTERVAL,
             drift_percent: DRIFT_PERCENT,
-            message_bytes: MESSAGE_BYTES,
+            message_bytes: MAX_MESSAGE_BYTES,
             first_voters,
             trailing_entries: TRAILING_ENTRIES,
             seed: rand::random(),
@@ -241,10 +244,10 @@
         });
     }
 
-    /// Takes in the storage thread's report; returns what is known of a disk that failed.
+    /// Handles a report of the storage thread; returns the failure if the disk failed.
     ///
-    /// The replica is dropped then, as in a crash: nothing that was not synced has been promised
-    /// to anyone, and what the disk holds has to be read again.
+    /// A disk failure drops the replica, as a crash would. This is safe because unsynced data has not
+    /// been acknowledged to anyone, but the contents of the disk have to be read again.
     pub(crate) fn report(
         &mut self,
         now: MonotonicTime,
@@ -274,18 +277,18 @@
                     let lost = running.proposals.into_values();
                     effects.ended.extend(lost.map(|(_, p)| (p, ProposalEnd::Lost)));
                 }
-                self.reopen_at = now + REOPEN_AFTER;
+                self.reopen_at = now + REOPEN_DELAY;
                 (effects, Some(DiskFailure { error, was_running }))
             }
         }
     }
 
-    /// Lets time pass.
+    /// Advances the node's clock, and hands over leadership if the disk has stalled.
     pub(crate) fn tick(&mut self, now: MonotonicTime) {
         let Some(running) = &mut self.running else { return };
         running.node.tick(now);
         let oldest = running.unsynced.front().map(|(_, _, at)| *at);
-        let is_stalled = oldest.is_some_and(|at| now.since(at) > DISK_PATIENCE);
+        let is_stalled = oldest.is_some_and(|at| now.since(at) > DISK_TIMEOUT);
         if is_stalled && running.node.role() == NodeRole::Leader {
             running.node.hand_over(now);
         }
@@ -301,7 +304,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the leader, if known, where this replica is not it.
+    /// Returns the leader, if it is known, when this replica does not lead.
     pub(crate) fn propose(
         &mut self,
         command: &LogCommand,
@@ -318,12 +321,12 @@
         }
     }
 
-    /// Gives up leadership, if it is this replica's, in favour of another.
+    /// Hands over leadership to another replica if this replica leads; returns whether it did.
     pub(crate) fn hand_over(&mut self, now: MonotonicTime) -> bool {
         self.running.as_mut().is_some_and(|running| running.node.hand_over(now))
     }
 
-    /// Carries out what the node wants done.
+    /// Processes the node's output and returns the effects.
     pub(crate) fn step(&mut self, now: MonotonicTime) -> ReplicaEffects {
         let mut effects = ReplicaEffects::default();
         if let Some(running) = &mut self.running {
@@ -332,31 +335,32 @@
         effects
     }
 
-    /// Returns the node, while the replica runs.
+    /// Returns the node if the replica is running.
     pub(crate) fn node(&self) -> Option<&ConsensusNode> {
         self.running.as_ref().map(|running| &running.node)
     }
 
-    /// Hands out what the last start found on the disk, once.
+    /// Takes the state that the last start recovered from the disk; returns it only once.
     pub(crate) fn take_recovery(&mut self) -> Option<RecoveryNote> {
         self.recovery.take()
     }
 
-    /// Returns for how long the running replica has had no leader, if that is to be reported now.
+    /// Returns how long the running replica has had no leader, if a report of that is due.
     pub(crate) fn leaderless(&mut self, now: MonotonicTime) -> Option<Duration> {
         let node = &self.running.as_ref()?.node;
         self.watch.note(now, node.leader().is_some())
     }
 
-    /// Changes which instances should vote.
+    /// Sets the instances that should be voters.
     pub(crate) fn want_voters(&mut self, wanted: impl IntoIterator<Item = InstanceId>) {
         if let Some(running) = &mut self.running {
-            // Only a leader asks, and one that has just lost its place has nobody to tell.
+            // Callers check that this replica leads. If it has just lost leadership, the new leader
+            // reviews the voters, so the error is ignored.
             let _ = running.node.want_voters(wanted);
         }
     }
 
-    /// Returns the newest state if this replica holds the leader's lease and has applied everything
+    /// Returns the newest state if this replica holds the leader's lease and has applied all entries
     /// that any leader has acknowledged.
     pub(crate) fn state_as_leader(&self, now: MonotonicTime) -> Option<&ReplicatedState> {
         let running = self.running.as_ref()?;
@@ -368,7 +372,7 @@
 impl RunningReplica {
     fn step(&mut self, now: MonotonicTime, effects: &mut ReplicaEffects) {
         let before = self.state.revision();
-        // A snapshot taken on the way gives rise to another output.
+        // A snapshot makes the node produce further output.
         while self.carry_out(now, effects) {}
         let after = self.state.revision();
         if after.document != before.document {
@@ -383,7 +387,7 @@
         }
     }
 
-    /// Carries out one output; returns whether a snapshot was taken.
+    /// Processes one output of the node; returns whether a snapshot was due.
     fn carry_out(&mut self, now: MonotonicTime, effects: &mut ReplicaEffects) -> bool {
         let NodeOutput { send, persist, restore, committed, .. } = self.node.take_output();
         effects.send.extend(send);
@@ -395,10 +399,11 @@
             self.apply(&entry, effects);
         }
         if let Some(batch) = persist {
-            self.hand_to_storage(now, batch, effects);
+            self.send_to_storage(now, batch, effects);
         }
         let entries = self.applied.0.saturating_sub(self.node.base_index().0);
-        let is_due = self.bytes_since_snapshot > SNAPSHOT_BYTES || entries > SNAPSHOT_ENTRIES;
+        let is_due = self.bytes_since_snapshot > SNAPSHOT_INTERVAL_BYTES
+            || entries > SNAPSHOT_INTERVAL_ENTRIES;
         if is_due && self.applied > self.node.base_index() {
             self.bytes_since_snapshot = 0;
             self.node.take_snapshot(self.applied, self.state.encode());
@@ -406,7 +411,7 @@
         is_due
     }
 
-    fn hand_to_storage(
+    fn send_to_storage(
         &mut self,
         now: MonotonicTime,
         mut batch: PersistBatch,
@@ -422,7 +427,7 @@
             return;
         }
         self.unsynced.push_back((sequence, messages, now));
-        // A thread that has ended has reported why, or will.
+        // Sending fails only if the storage thread has ended; its report gives the reason.
         let _ = self.batches.send(batch);
     }
 
--- a/crates/gateway/src/replica/state.rs
+++ b/crates/gateway/src/replica/state.rs
@@ -1,4 +1,4 @@
-//! The commands in the replicated log and the state they produce.
+//! Defines the commands in the replicated log and the state that they produce.
 
 use oriolepass_routing::{
     DrainCommand, DrainOutcome, DrainRegister, DrainRevision, RegisterOutcome, RoutingRegister,
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 
 /// Prefix of entries that are not routing documents. A document starts with its revision as a
-/// varint, which never has this many continuation bytes, so logs that were written before other
-/// commands existed can still be read.
+/// varint, which never has this many continuation bytes. Logs written before other commands existed
+/// can therefore still be read.
 const COMMAND_TAG: [u8; 10] = [0xff; 10];
 
 /// A command in the replicated log.
@@ -95,7 +95,7 @@
         bytes
     }
 
-    /// Decodes a snapshot. One written before drains were replicated ends with the document.
+    /// Decodes a snapshot. A snapshot written before drains were replicated ends with the document.
     pub(crate) fn decode(bytes: &[u8]) -> postcard::Result<Self> {
         let (register, rest) = postcard::take_from_bytes(bytes)?;
         let drains =
--- a/crates/gateway/src/replica/state_tests.rs
+++ b/crates/gateway/src/replica/state_tests.rs
@@ -1,5 +1,5 @@
-//! Guards the decoding of log entries and snapshots, also of those written before data centres
-//! could be drained.
+//! Tests the decoding of log entries and snapshots, including those written before drains of data
+//! centres were replicated. A daemon that cannot decode them fails to start after an upgrade.
 
 use oriolepass_routing::{
     DrainCommand, DrainRevision, RoutingRegister, RoutingRevision, RoutingText,
--- a/crates/gateway/src/replica/storage.rs
+++ b/crates/gateway/src/replica/storage.rs
@@ -1,5 +1,6 @@
-//! The storage thread: reads the disk, then syncs what the replica of the log has to keep, and
-//! nothing else. A disk that hangs stops this thread alone.
+//! Runs the storage thread, which reads the disk and then syncs the batches of the log's replica.
+//!
+//! All access to the disk is on this thread, so a disk that hangs blocks no other thread.
 
 use std::path::PathBuf;
 use std::sync::mpsc;
@@ -9,36 +10,36 @@
 use oriolepass_storage::{DiskFolder, LogStore, RecoveredLog, StorageError, SuspectTails};
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Batches synced together at most.
-const MAX_GROUP: usize = 64;
+/// The maximum number of batches in one sync.
+const MAX_BATCHES_PER_SYNC: usize = 64;
 
-/// The size at which a segment of the log is ended; the platform's disks hold 64 MB.
+/// The size at which a segment of the log is closed; the platform's disks hold 64 MB.
 const SEGMENT_BYTES: u64 = 2 * 1024 * 1024;
 
-/// What the storage thread tells the event loop.
+/// A report of the storage thread to the event loop.
 #[derive(Debug)]
 pub(crate) enum StorageReport {
-    /// The disk has been read; batches are taken from now on.
+    /// The disk has been read, and the thread accepts batches.
     Opened(RecoveredLog),
-    /// Everything up to this batch is synced.
+    /// All batches up to this sequence number are synced.
     Synced(u64),
-    /// The disk failed, and the thread ends. What the disk holds is not known any more, so the
-    /// replica must be read again, without what only looks durable.
+    /// The disk failed, and the thread ends. The contents of the disk are unknown, so the replica has
+    /// to be read again, without the data that appears durable but was not synced.
     Failed(StorageError, SuspectTails),
 }
 
-/// What the storage thread works with.
-pub(crate) struct StorageDuty {
+/// The inputs and outputs of the storage thread.
+pub(crate) struct StorageThread {
     pub(crate) folder: PathBuf,
-    /// What a thread before this one has left on the disk and has not synced.
+    /// Data that an earlier thread wrote to the disk and did not sync.
     pub(crate) suspects: SuspectTails,
     pub(crate) batches: mpsc::Receiver<PersistBatch>,
-    /// Holds at most one report a batch, and two more.
+    /// Unbounded, but holds at most one report for each batch and two others.
     pub(crate) reports: UnboundedSender<StorageReport>,
 }
 
-impl StorageDuty {
-    /// Starts the thread. It ends when the batches' sender is gone or the disk fails.
+impl StorageThread {
+    /// Starts the thread. It ends when the sender of batches is dropped or the disk fails.
     ///
     /// # Errors
     ///
@@ -63,16 +64,16 @@
         }
     }
 
-    /// Tells the event loop; returns whether it is still there.
+    /// Sends a report to the event loop; returns whether the event loop still receives reports.
     fn report(&self, report: StorageReport) -> bool {
         self.reports.send(report).is_ok()
     }
 
-    /// Writes until nobody wants it any more or the disk fails.
+    /// Writes batches until a channel is closed or the disk fails.
     fn write_batches(&self, mut store: LogStore) {
         while let Ok(first) = self.batches.recv() {
             let mut group = vec![first];
-            while group.len() < MAX_GROUP {
+            while group.len() < MAX_BATCHES_PER_SYNC {
                 let Ok(next) = self.batches.try_recv() else { break };
                 group.push(next);
             }
--- a/crates/gateway/src/replica/watch.rs
+++ b/crates/gateway/src/replica/watch.rs
@@ -1,15 +1,16 @@
-//! What operators have to see of a replica: what it found on its disk, and that it has no leader.
+//! Collects what is logged about a replica: the state recovered from its disk, and how long it has
+//! had no leader.
 
 use std::time::Duration;
 
 use oriolepass_storage::RecoveredLog;
 use oriolepass_units::{LeaderTerm, LogIndex, MonotonicTime};
 
-/// The time without a leader before it is reported, and between two such reports: an election
-/// takes less.
-const REPORT_EVERY: Duration = Duration::from_secs(1);
+/// The time without a leader before the first report, and the interval between reports. It is longer
+/// than an election, so ordinary elections are not reported.
+const LEADERLESS_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a start found on the disk.
+/// The state that a start recovered from the disk.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct RecoveryNote {
     pub(crate) term: LeaderTerm,
@@ -29,7 +30,7 @@
     }
 }
 
-/// Tells when a replica without a leader is due for a report.
+/// Determines when a replica without a leader is due for a report.
 #[derive(Debug, Default)]
 pub(crate) struct LeaderWatch {
     since: Option<MonotonicTime>,
@@ -37,15 +38,14 @@
 }
 
 impl LeaderWatch {
-    /// Takes in whether there is a leader; returns for how long there has been none, if that is
-    /// to be reported now.
+    /// Records whether there is a leader; returns how long there has been none if a report is due.
     pub(crate) fn note(&mut self, now: MonotonicTime, has_leader: bool) -> Option<Duration> {
         if has_leader {
             *self = Self::default();
             return None;
         }
         let since = *self.since.get_or_insert(now);
-        let is_due = now.since(self.reported.unwrap_or(since)) >= REPORT_EVERY;
+        let is_due = now.since(self.reported.unwrap_or(since)) >= LEADERLESS_REPORT_INTERVAL;
         is_due.then(|| {
             self.reported = Some(now);
             now.since(since)
--- a/crates/gateway/src/replica/watch_tests.rs
+++ b/crates/gateway/src/replica/watch_tests.rs
@@ -1,4 +1,4 @@
-//! When a replica without a leader is reported.
+//! Tests when a replica without a leader is reported.
 
 use std::time::Duration;
 
@@ -6,6 +6,8 @@
 
 use crate::replica::watch::LeaderWatch;
 
+/// A lost leader is reported once a second, and the time starts again after a leader was found.
+/// Reports at each tick would flood the log.
 #[test]
 fn a_replica_without_a_leader_is_reported_each_second_until_it_has_one() {
     let at = |ms: u64| MonotonicTime::ZERO + Duration::from_millis(ms);
