--- a/crates/gateway/src/cluster.rs
+++ b/crates/gateway/src/cluster.rs
@@ -1,4 +1,8 @@
-//! The daemons among themselves: greetings, who leads, and where their messages go.
+//! Cluster membership: exchanges greetings between daemons, tracks the leader, and dispatches peer
+//! messages.
+//!
+//! A greeting is a message in which a daemon reports its own state. Peer messages are dispatched to
+//! the parts of the gateway that handle them.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -19,32 +23,33 @@
 use crate::replica::{Proposer, ReplicaDriver};
 use crate::roster::{DaemonNote, DaemonPhase, GREET_EVERY, ReplicaNote, RosterChange};
 
-/// Greetings to a daemon that does not answer are sent this many times less often.
+/// A silent daemon is greeted only once in this many rounds.
 const SILENT_GREETING_DIVISOR: u64 = 5;
 
-/// Greetings say everything this many times less often than they say that the daemon is alive, and
-/// whenever something has changed. A daemon that has missed a change asks for it, so this is only for
-/// what nobody thought of.
+/// A full greeting is sent once in this many rounds and whenever the daemon's note has changed; the
+/// other rounds only report that the daemon is alive. A daemon that has missed a change asks for it,
+/// so the regular full greeting only covers unforeseen losses.
 const FULL_GREETING_DIVISOR: u64 = 64;
 
-/// Peer traffic is logged and counted once in this many greeting rounds, about every ten seconds.
+/// Peer traffic is logged and added to the metrics once in this many rounds, about every ten
+/// seconds.
 const TRAFFIC_LOG_DIVISOR: u64 = 16;
 
-/// The most endpoints that have left that a daemon is told of at once.
-const TOLD_LEAVERS: usize = 256;
+/// The maximum number of endpoint departures reported in one message.
+const MAX_REPORTED_DEPARTURES: usize = 256;
 
-/// What was written to a connection this long before it was found to be lost may not have arrived: its
-/// receipts are waited for 2.4 s, and bytes may lie unacknowledged for 1.8 s before.
-const UNSURE_BEFORE_LOSS: Duration = Duration::from_millis(5_000);
+/// Data written to a connection within this time before its loss was detected may not have arrived:
+/// the receipt time-out is 2.4 s, and bytes may stay unacknowledged for 1.8 s before that.
+const UNCONFIRMED_BEFORE_LOSS: Duration = Duration::from_millis(5_000);
 
 impl Gateway {
-    /// Greets the other daemons again and again.
+    /// Greets the other daemons in every greeting round, and updates the leader.
     pub(crate) async fn send_greetings_periodically(self: Rc<Self>) {
         let mut round = 0_u64;
         loop {
             self.note_suspension();
             self.greet(round);
-            self.look_for_leader();
+            self.update_leader();
             if round.is_multiple_of(TRAFFIC_LOG_DIVISOR) {
                 self.log_traffic();
             }
@@ -107,14 +112,14 @@
                 self.line(EventKind::Peer).text("peer", &daemon).text("outcome", "forgotten");
             }
         }
-        self.tell_peer_changes();
+        self.log_peer_changes();
         self.mesh.send_all(&to, &self.greeting(round));
         let alive = self.roster.borrow().alive(now).count();
         self.metrics.peers.set(i64::try_from(alive).unwrap_or(i64::MAX));
     }
 
-    /// Returns whether a change of a daemon, or of the link to it, is counted instead of having a line of
-    /// its own, and counts it if so.
+    /// Returns whether a change of a daemon, or of the link to it, is counted instead of logged on a
+    /// line of its own, and counts it if so.
     fn is_counted(&self, change: PeerChange, peer: &InstanceId) -> bool {
         let is_dependency =
             self.leader_instance().as_ref() == Some(peer) || self.own_voters().contains(peer);
@@ -126,8 +131,8 @@
         is_counted
     }
 
-    /// Writes what was counted since the last such line.
-    fn tell_peer_changes(&self) {
+    /// Logs the changes counted since the last summary line.
+    fn log_peer_changes(&self) {
         let changes = self.peer_changes.borrow_mut().take();
         if changes.is_empty() {
             return;
@@ -140,14 +145,14 @@
         }
     }
 
-    /// Returns what this round's greeting says: everything, or that nothing has changed.
+    /// Returns this round's greeting: the full note, or a message that it has not changed.
     fn greeting(&self, round: u64) -> PeerMessage {
         let note = self.note();
         let has_changed = self.greeted_edition.replace(note.edition) != note.edition;
         if has_changed
             || round < SILENT_GREETING_DIVISOR
             || round.is_multiple_of(FULL_GREETING_DIVISOR)
-            // The answers to it name daemons that may know the leader.
+            // The answers to a full greeting name daemons that may know the leader.
             || self.leader_instance().is_none()
         {
             return PeerMessage::Greeting(note);
@@ -155,7 +160,7 @@
         PeerMessage::Present { boot: self.boot, edition: note.edition }
     }
 
-    /// Greets everyone at once, after a change that the others should know of.
+    /// Sends a full greeting to all live daemons, after a change that they should learn of at once.
     pub(crate) fn greet_now(&self) {
         let to: Vec<InstanceId> = {
             let roster = self.roster.borrow();
@@ -164,7 +169,8 @@
         self.mesh.send_all(&to, &PeerMessage::Greeting(self.note()));
     }
 
-    /// Daemons listen for each other on the same port everywhere, so an address is enough.
+    /// Returns the seed instances; all daemons listen for peers on the same port, so the seeds'
+    /// addresses are enough.
     fn seed_instances(&self) -> Vec<InstanceId> {
         let settings = self.settings();
         let port = settings.listen.peers.port();
@@ -175,10 +181,10 @@
             .collect()
     }
 
-    /// Returns what this daemon says of itself.
+    /// Returns the note that this daemon sends about itself, with a new edition if it has changed.
     pub(crate) fn note(&self) -> DaemonNote {
         let settings = self.settings();
-        let said = self.with_node(|node| ReplicaNote {
+        let replica_note = self.with_node(|node| ReplicaNote {
             term: node.term(),
             leader: node.leader().map(|leader| leader.instance.clone()),
             voters: voters_of(node),
@@ -193,7 +199,7 @@
             has_disk: settings.data_folder.is_some(),
             may_found: settings.seeds.may_found
                 && self.replica.borrow().as_ref().is_some_and(ReplicaDriver::is_empty),
-            replica: said.filter(|said| !said.voters.is_empty()),
+            replica: replica_note.filter(|replica_note| !replica_note.voters.is_empty()),
             known: u32::try_from(self.reported_known_count()).unwrap_or(u32::MAX),
             is_tiered: self.tier.borrow().is_tiered_hub(),
             edition: 0,
@@ -236,7 +242,7 @@
         if has_disk {
             self.add_hub(from, &note.data_centre);
         }
-        // From `tiers_from` daemons on, a list of all daemons would make newcomers build a full mesh.
+        // From `tiers_from` daemons on, a list of all daemons would make a newcomer connect to each.
         let needs_tiers = self.roster.borrow().known_count() >= self.settings().tiers_from;
         let hubs = (needs_tiers || self.tier() != Tier::Mesh).then(|| {
             let hubs = self.known_hubs().into_iter();
@@ -264,7 +270,7 @@
                     .number("boot", boot)
                     .text("outcome", "met");
             }
-            for message in self.news_for(from, None) {
+            for message in self.state_updates_for(from, None) {
                 self.mesh.send(from, &message);
             }
         }
@@ -272,7 +278,7 @@
             if phase == DaemonPhase::Leaving && !self.is_counted(PeerChange::Leaving, from) {
                 self.line(EventKind::Peer).text("peer", from).text("outcome", "leaving");
             }
-            self.look_for_leader();
+            self.update_leader();
         }
         if let Some(list) = more {
             self.mesh.send(from, &PeerMessage::Known(list));
@@ -282,61 +288,68 @@
         }
     }
 
-    /// Returns what to tell a daemon that has come into reach: of endpoints and of requests that end them,
-    /// what may have been lost with the link to it, and everything where it is new and this daemon is
-    /// one of those that say so.
-    fn news_for(&self, to: &InstanceId, lost: Option<MonotonicTime>) -> Vec<PeerMessage> {
+    /// Returns the state to send to a daemon that has become reachable, about endpoints and about
+    /// requests that end them: the changes that may have been lost with the link to the daemon, and
+    /// the whole state if the daemon is new and this daemon is one of its sponsors, the few daemons
+    /// that send the whole state to a newcomer.
+    fn state_updates_for(&self, to: &InstanceId, lost: Option<MonotonicTime>) -> Vec<PeerMessage> {
         let is_to_hub = self.roster.borrow().is_hub(to);
         match self.tier() {
             // A leaf gets missing state in reply to its `LeafAsk`.
             Tier::Hub if !is_to_hub => return Vec::new(),
             Tier::Hub => {
-                let mut news = vec![self.all_attached_leaves()];
-                news.extend(self.endpoint_news_since(lost.unwrap_or(MonotonicTime::ZERO)));
-                news.extend(self.cases_for(to, true));
-                return news;
+                let mut updates = vec![self.all_attached_leaves()];
+                updates.extend(self.endpoint_updates_since(lost.unwrap_or(MonotonicTime::ZERO)));
+                updates.extend(self.cases_for(to, true));
+                return updates;
             }
             Tier::Leaf => {
-                return lost.map_or_else(Vec::new, |since| self.endpoint_news_since(since));
+                return lost.map_or_else(Vec::new, |since| self.endpoint_updates_since(since));
             }
             Tier::Mesh => {}
         }
-        let mut news = self.endpoint_news(to, lost);
-        news.extend(self.cases_for(to, lost.is_some()));
-        news
+        let mut updates = self.endpoint_updates_for(to, lost);
+        updates.extend(self.cases_for(to, lost.is_some()));
+        updates
     }
 
-    /// Returns those heard lately, each with its data centre.
+    /// Returns the live daemons, each with its data centre.
     pub(crate) fn alive_with_centres(&self) -> Vec<(InstanceId, DataCentreId)> {
         let roster = self.roster.borrow();
         let alive = roster.alive(self.now());
         alive.map(|note| (note.instance.clone(), note.data_centre.clone())).collect()
     }
 
-    fn endpoint_news(&self, to: &InstanceId, lost: Option<MonotonicTime>) -> Vec<PeerMessage> {
+    /// Returns the endpoint changes to send to a daemon in a full mesh: all known endpoints from the
+    /// leader and the daemon's sponsors, otherwise those since the link was lost.
+    fn endpoint_updates_for(
+        &self,
+        to: &InstanceId,
+        lost: Option<MonotonicTime>,
+    ) -> Vec<PeerMessage> {
         let now = self.now();
-        let tells_all = self.is_leader() || {
+        let sends_all = self.is_leader() || {
             let roster = self.roster.borrow();
             is_sponsor(&self.own, to, roster.alive(now).map(|note| &note.instance))
         };
-        let since = if tells_all { Some(MonotonicTime::ZERO) } else { lost };
-        since.map_or_else(Vec::new, |since| self.endpoint_news_since(since))
+        let since = if sends_all { Some(MonotonicTime::ZERO) } else { lost };
+        since.map_or_else(Vec::new, |since| self.endpoint_updates_since(since))
     }
 
     /// Returns the endpoint changes since a point in time.
-    fn endpoint_news_since(&self, since: MonotonicTime) -> Vec<PeerMessage> {
+    fn endpoint_updates_since(&self, since: MonotonicTime) -> Vec<PeerMessage> {
         let now = self.now();
         let endpoints = self.endpoints.borrow();
-        let leavers = endpoints.leavers(TOLD_LEAVERS, since);
+        let leavers = endpoints.leavers(MAX_REPORTED_DEPARTURES, since);
         let notices = endpoints.changed_notices(now, since);
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         if !leavers.is_empty() {
-            news.push(PeerMessage::EndpointsLeft(leavers));
+            updates.push(PeerMessage::EndpointsLeft(leavers));
         }
         if !notices.is_empty() {
-            news.push(PeerMessage::Endpoints(notices));
+            updates.push(PeerMessage::Endpoints(notices));
         }
-        news
+        updates
     }
 
     fn on_known(&self, instances: &[InstanceId]) {
@@ -349,12 +362,13 @@
         self.mesh.send_all(&new, &PeerMessage::Greeting(self.note()));
     }
 
-    /// Works out who leads, from the replica here and from what others say.
-    pub(crate) fn look_for_leader(&self) {
+    /// Determines the leader from the local replica and the notes of other daemons; the higher term
+    /// wins.
+    pub(crate) fn update_leader(&self) {
         let own = self.with_node(|node| Some((node.term(), node.leader()?.instance.clone())));
-        let told =
+        let reported =
             self.roster.borrow().leader(self.now()).filter(|(_, leader)| *leader != self.own);
-        let next = own.flatten().into_iter().chain(told).max_by_key(|(term, _)| *term);
+        let next = own.flatten().into_iter().chain(reported).max_by_key(|(term, _)| *term);
         let before = self.leader.replace(next.clone());
         if before == next {
             return;
@@ -377,7 +391,7 @@
     node.voters().voters.iter().map(|voter| voter.instance.clone()).collect()
 }
 
-/// The mesh's way to the gateway.
+/// Passes the mesh's events to the gateway.
 pub(crate) struct GatewayMesh(pub(crate) Rc<Gateway>);
 
 impl MeshEvents for GatewayMesh {
@@ -408,7 +422,7 @@
                 gateway.answer_call(token, PeerReply::Fresh(verdict));
             }
             PeerMessage::Document { text, pass_on } => gateway.on_document(text, &pass_on),
-            PeerMessage::InForce(revision) => gateway.note_in_force(from, revision),
+            PeerMessage::InForce(revision) => gateway.record_in_force(from, revision),
             PeerMessage::Propose { token, text } => {
                 let proposer = Proposer { instance: from.clone(), token };
                 gateway.propose_here(&text, &proposer);
@@ -459,7 +473,7 @@
             }
             PeerMessage::Progress(notes) => gateway.on_progress(&notes),
             PeerMessage::Placed(prompts) => gateway.on_placed(prompts),
-            PeerMessage::Cases(news) => gateway.on_case_news(from, &news),
+            PeerMessage::Cases(updates) => gateway.on_case_news(from, &updates),
             PeerMessage::CaseHash { hash, is_answer } => {
                 gateway.on_case_hash(from, hash, is_answer);
             }
@@ -474,7 +488,7 @@
         let lost = gateway.links_lost.borrow_mut().remove(to);
         gateway.note_link(to);
         let mut messages = vec![PeerMessage::Greeting(gateway.note())];
-        messages.extend(gateway.news_for(to, lost));
+        messages.extend(gateway.state_updates_for(to, lost));
         messages
     }
 
@@ -483,7 +497,7 @@
             let line = self.0.line(EventKind::PeerLink).text("peer", to).text("outcome", "down");
             line.text("reason", reason);
         }
-        let unsure_since = self.0.now() - UNSURE_BEFORE_LOSS;
-        self.0.links_lost.borrow_mut().insert(to.clone(), unsure_since);
+        let unconfirmed_since = self.0.now() - UNCONFIRMED_BEFORE_LOSS;
+        self.0.links_lost.borrow_mut().insert(to.clone(), unconfirmed_since);
     }
 }
--- a/crates/gateway/src/documents.rs
+++ b/crates/gateway/src/documents.rs
@@ -1,4 +1,8 @@
-//! Routing documents: taking them into the log, having them in force, proving them current.
+//! Replicates routing documents: proposes them to the log, puts them in force, and proves them current.
+//!
+//! A routing document is the configuration that determines the route of each request. Its revision
+//! orders documents. A proof is the leader's confirmation that the document in force on a daemon was
+//! the newest one at a point in time.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -20,52 +24,53 @@
 use crate::peers::{DocumentVerdict, DrainVerdict, FreshVerdict, PeerMessage};
 use crate::replica::{CommandOutcome, LogCommand, ProposalEnd, Proposer};
 
-/// Between two questions whether the document is current: several fit into the time that a key
-/// may outlive its removal.
-pub(crate) const PROVE_EVERY: Duration = Duration::from_millis(400);
+/// The interval between queries for a proof that the document is current. Several queries fit into
+/// the time that a key may keep working after its removal.
+pub(crate) const PROOF_INTERVAL: Duration = Duration::from_millis(400);
 
-/// The pause after a question that brought no proof.
-const PROVE_AGAIN: Duration = Duration::from_millis(70);
+/// The delay after a query that gave no proof.
+const PROOF_RETRY_DELAY: Duration = Duration::from_millis(70);
 
-/// The same for a leaf; longer, as many leaves ask the same hub.
-const PROVE_AGAIN_AS_LEAF: Duration = Duration::from_millis(150);
+/// The delay after a query of a leaf that gave no proof. It is longer because many leaves query the
+/// same hub.
+const LEAF_PROOF_RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// How long the leader has to answer a question; then the next one is asked.
-const ANSWER_PATIENCE: Duration = Duration::from_millis(700);
+/// The time-out of one freshness query to the leader, after which the next query is sent.
+const FRESHNESS_QUERY_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// The part of the time that a key may outlive its removal in which a proof counts. The rest is
-/// for the request to reach its endpoint and for the acknowledgement to have been under way.
-const PROOF_SHARE: f64 = 0.8;
+/// The part of the key revocation time for which a proof is valid. The rest covers the time in which
+/// a request reaches its endpoint and in which the acknowledgement is in transit.
+const PROOF_LIFETIME_RATIO: f64 = 0.8;
 
-/// A daemon that has had no proof for this long is not named to callers any more, though it still
-/// serves those that come: longer than an election, and early enough for most callers to go
-/// elsewhere before the proof runs out.
-const WELL_PROVED: Duration = Duration::from_millis(2_000);
+/// A daemon without a proof for this long is no longer listed to callers, though it still serves
+/// requests that arrive. This is longer than an election, and short enough for most callers to switch
+/// to another daemon before the proof expires.
+const RECENT_PROOF_TTL: Duration = Duration::from_millis(2_000);
 
-/// The part of the time for an acknowledgement that is used before the operator is told to try
-/// again.
-pub(crate) const ACKNOWLEDGE_SHARE: f64 = 0.75;
+/// The part of the acknowledgement time that proposals may use. After it the operator is told to
+/// send the request again.
+pub(crate) const ACKNOWLEDGE_TIMEOUT_RATIO: f64 = 0.75;
 
-/// The leader acknowledges a document at the latest this long after the log holds it, whoever
-/// has not confirmed it; far below the time in which it has to be in force everywhere.
-const CONFIRM_PATIENCE: Duration = Duration::from_millis(350);
+/// The leader acknowledges a committed document after this time even if some daemons have not
+/// confirmed it. It is far below the time in which the document has to be in force everywhere.
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// A daemon that has not been heard for this long is not waited for.
-const CONFIRMED_BY: Duration = Duration::from_millis(1_300);
+/// The leader does not wait for confirmation by a daemon that has been silent for this long.
+const CONFIRMATION_MAX_SILENCE: Duration = Duration::from_millis(1_300);
 
-/// The pause before a proposal is tried again.
-pub(crate) const PROPOSE_AGAIN: Duration = Duration::from_millis(80);
+/// The delay before a proposal is retried.
+pub(crate) const PROPOSAL_RETRY_DELAY: Duration = Duration::from_millis(80);
 
-/// How long one try of a proposal may take.
-pub(crate) const PROPOSE_PATIENCE: Duration = Duration::from_millis(1_500);
+/// The time-out of one attempt at a proposal.
+pub(crate) const PROPOSAL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How long a reader of the document is kept waiting before it is told to try again.
-const READ_PATIENCE: Duration = Duration::from_millis(900);
+/// The time-out of a read of the document, after which the reader is told to ask again.
+const READ_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// The reason that a document was not acknowledged.
 #[derive(Debug, Error)]
 pub enum PutError {
-    /// It is not valid.
+    /// The document is invalid.
     #[error(transparent)]
     Invalid(#[from] DocumentProblem),
     /// No majority of the voters could be reached in time.
@@ -73,10 +78,10 @@
     Unavailable,
 }
 
-/// The document could not be read.
+/// The reason that the document could not be read.
 #[derive(Debug, Error)]
 pub enum ReadError {
-    /// It is not certain which one is the newest.
+    /// It is uncertain which document is the newest.
     #[error("it is not certain which document is the newest; ask again, or ask another daemon")]
     Uncertain,
 }
@@ -88,18 +93,18 @@
     pub(crate) table: RoutingTable,
 }
 
-/// What this daemon knows of documents.
+/// The document in force and what is known about its replication.
 #[derive(Debug, Default)]
 pub(crate) struct DocumentState {
     active: Option<Rc<ActiveDocument>>,
-    /// The latest moment at which the document in force is known to have been the newest.
+    /// The latest time at which the document in force is known to have been the newest.
     proved_at: Option<MonotonicTime>,
-    /// A newer one exists: when that was asked, and its revision.
+    /// The newest document, if this daemon lacks it: the time of the query, and its revision.
     awaited: Option<(MonotonicTime, RoutingRevision)>,
     was_fresh: bool,
-    /// What the other daemons have in force, as they told the leader.
+    /// The revisions that the other daemons have in force, as reported to the leader.
     in_force: BTreeMap<InstanceId, RoutingRevision>,
-    /// What this daemon has sent of them as the leader.
+    /// The copies that this daemon has sent as the leader.
     spread: DocumentSpread,
 }
 
@@ -108,11 +113,12 @@
         self.active.as_ref().map(|active| active.text.revision)
     }
 
+    /// Records a proof by a query that was sent at `asked`.
     pub(crate) fn prove(&mut self, asked: MonotonicTime) {
         self.proved_at = self.proved_at.max(Some(asked));
     }
 
-    /// Returns how old the proof is that the document in force is the newest.
+    /// Returns the age of the proof that the document in force is the newest.
     pub(crate) fn proof_age(&self, now: MonotonicTime) -> Option<Duration> {
         self.proved_at.map(|at| now.since(at))
     }
@@ -124,23 +130,24 @@
         self.documents.borrow().active.clone()
     }
 
-    /// Returns whether the document was proved current so lately that callers may be sent here.
+    /// Returns whether the proof is recent enough for this daemon to be listed to callers.
     pub(crate) fn has_recent_proof(&self) -> bool {
-        self.proof_age().is_some_and(|age| age < WELL_PROVED)
+        self.proof_age().is_some_and(|age| age < RECENT_PROOF_TTL)
     }
 
-    /// Returns how old the proof is that the document in force is the newest.
+    /// Returns the age of the proof that the document in force is the newest.
     pub(crate) fn proof_age(&self) -> Option<Duration> {
         self.documents.borrow().proof_age(self.now())
     }
 
-    /// Returns whether the document in force surely is no older than a removed key may work.
+    /// Returns whether the proof is still valid, so that no key works for longer after its removal
+    /// than the settings allow.
     pub(crate) fn is_fresh(&self) -> bool {
-        let lifetime = self.settings().bounds.key_revoke.mul_f64(PROOF_SHARE);
+        let lifetime = self.settings().bounds.key_revoke.mul_f64(PROOF_LIFETIME_RATIO);
         self.proof_age().is_some_and(|age| age < lifetime)
     }
 
-    /// Takes a document over if it is newer than the one in force.
+    /// Puts a document in force if it is newer than the current one.
     pub(crate) fn adopt_document(&self, text: RoutingText) {
         let held = self.documents.borrow().revision();
         if held.is_some_and(|held| held >= text.revision) {
@@ -152,7 +159,7 @@
             .and_then(|text| (self.dialect.decode_document)(&text).map_err(|e| e.to_string()));
         let table = match document {
             Ok(document) => RoutingTable::new(document),
-            // It was checked before it was proposed, by the same code.
+            // Not expected: the same code checked the document before it was proposed.
             Err(reason) => {
                 let line = self.line(EventKind::InForce).number("revision", text.revision);
                 line.text("outcome", "refused").text("reason", reason);
@@ -188,11 +195,12 @@
         self.refresh_readiness();
     }
 
-    /// Sends a new document to all daemons in reach, as the leader.
+    /// Sends a new document from the leader to all reachable daemons.
     ///
-    /// Its link carries answers to prompts as well, so it sends only to relays: 200 copies of 40 kB
-    /// fill 100 Mbit/s for 0.6 s, in which no prompt is placed in time.
-    pub(crate) fn spread_document(&self, text: &RoutingText) {
+    /// The leader sends the document only to relays, because its network link also carries answers to
+    /// prompts: 200 copies of 40 kB saturate 100 Mbit/s for 0.6 s, and no prompt is placed in time
+    /// meanwhile.
+    pub(crate) fn disseminate_document(&self, text: &RoutingText) {
         let now = self.now();
         self.documents.borrow_mut().spread.begin(now, text.revision);
         if self.tier() == Tier::Hub {
@@ -207,7 +215,7 @@
         }
     }
 
-    /// Takes a document over that another daemon sent, and passes it on.
+    /// Forwards a document received from another daemon to `pass_on`, and adopts it.
     pub(crate) fn on_document(&self, text: RoutingText, pass_on: &[InstanceId]) {
         if !pass_on.is_empty() {
             let copy = PeerMessage::Document { text: text.clone(), pass_on: Vec::new() };
@@ -216,8 +224,8 @@
         self.adopt_document(text);
     }
 
-    /// Notes what another daemon has in force.
-    pub(crate) fn note_in_force(&self, from: &InstanceId, revision: RoutingRevision) {
+    /// Records the revision that another daemon has in force.
+    pub(crate) fn record_in_force(&self, from: &InstanceId, revision: RoutingRevision) {
         let mut documents = self.documents.borrow_mut();
         let held = documents.in_force.entry(from.clone()).or_default();
         *held = revision.max(*held);
@@ -225,24 +233,24 @@
         self.document_changed.notify_waiters();
     }
 
-    /// Asks the leader again and again whether the document in force is the newest.
+    /// Queries the leader at an interval whether the document in force is the newest.
     pub(crate) async fn refresh_proof_periodically(self: Rc<Self>) {
         loop {
-            let is_answered = self.prove_once().await;
-            self.note_freshness();
+            let is_answered = self.request_proof().await;
+            self.record_freshness();
             self.refresh_readiness();
-            // A new leader is asked at once, and again soon while it is not sure to lead yet.
+            // A new leader is queried at once, and after a short delay until it holds its lease.
             let pause = match (is_answered, self.tier()) {
-                (true, _) => PROVE_EVERY,
-                (false, Tier::Leaf) => PROVE_AGAIN_AS_LEAF,
-                (false, _) => PROVE_AGAIN,
+                (true, _) => PROOF_INTERVAL,
+                (false, Tier::Leaf) => LEAF_PROOF_RETRY_DELAY,
+                (false, _) => PROOF_RETRY_DELAY,
             };
             let _ = timeout(pause, self.leader_changed.notified()).await;
         }
     }
 
-    /// Asks once; returns whether the leader was sure.
-    async fn prove_once(&self) -> bool {
+    /// Sends one freshness query; returns whether it gave a definite answer.
+    async fn request_proof(&self) -> bool {
         if self.tier() == Tier::Leaf {
             return self.prove_by_hub().await;
         }
@@ -263,7 +271,7 @@
                 documents.awaited = Some((at, newest));
             }
             Some(_) => documents.prove(at),
-            // No document has ever been accepted, so there is nothing to be current.
+            // No document has ever been accepted, so there is none to prove.
             None => {}
         }
     }
@@ -273,17 +281,17 @@
         self.documents.borrow().revision()
     }
 
-    /// Asks the leader which document is the newest.
+    /// Queries the leader for the newest document's revision and the drained data centres.
     pub(crate) async fn ask_newest(&self) -> Option<FreshVerdict> {
         let leader = self.leader_instance()?;
         if leader == self.own {
             return Some(self.fresh_verdict());
         }
         let held = self.documents.borrow().revision();
-        let question = |token| PeerMessage::FreshAsk { token, held };
-        let mut call = std::pin::pin!(self.call(&leader, ANSWER_PATIENCE, question));
-        // The leader is the home of the engines as well: this shows whether it answers in time
-        // before a prompt has to wait for it.
+        let query = |token| PeerMessage::FreshAsk { token, held };
+        let mut call = std::pin::pin!(self.call(&leader, FRESHNESS_QUERY_TIMEOUT, query));
+        // The leader is also the home of the engines, the daemon that places prompts on them. The
+        // query detects a slow home before a prompt has to wait for it.
         let reply = match timeout(HOME_PATIENCE, &mut call).await {
             Ok(reply) => {
                 self.home_answered();
@@ -300,7 +308,7 @@
         }
     }
 
-    /// Answers, as the leader, which document is the newest.
+    /// Returns the leader's answer to a freshness query.
     pub(crate) fn fresh_verdict(&self) -> FreshVerdict {
         let replica = self.replica.borrow();
         match replica.as_ref().and_then(|replica| replica.state_as_leader(self.now())) {
@@ -312,7 +320,7 @@
         }
     }
 
-    /// Answers another daemon's question, and sends it the newest document if it lacks that.
+    /// Answers another daemon's freshness query, and sends the newest document if the daemon lacks it.
     pub(crate) fn on_fresh_ask(
         &self,
         from: &InstanceId,
@@ -322,14 +330,14 @@
         let verdict = self.fresh_verdict();
         if let FreshVerdict::Newest(newest, _) = verdict {
             if let Some(held) = held {
-                self.note_in_force(from, held);
+                self.record_in_force(from, held);
             }
             self.send_missing_document(from, newest, held);
         }
         self.mesh.send(from, &PeerMessage::FreshAnswer { token, verdict });
     }
 
-    /// Sends the document in force to a daemon that holds an older revision than the newest one.
+    /// Sends the document in force to a daemon that holds an older revision than `newest`.
     pub(crate) fn send_missing_document(
         &self,
         to: &InstanceId,
@@ -345,7 +353,7 @@
         }
     }
 
-    fn note_freshness(&self) {
+    fn record_freshness(&self) {
         let is_fresh = self.is_fresh();
         let age = self.documents.borrow().proof_age(self.now());
         let age_ms = age.map_or(-1, |age| i64::try_from(age.as_millis()).unwrap_or(i64::MAX));
@@ -361,15 +369,14 @@
         }
     }
 
-    /// Takes an operator's document into the log.
+    /// Proposes an operator's document for the log and waits for the acknowledgement.
     ///
-    /// A document whose revision is not higher than the newest one's is acknowledged and changes
-    /// nothing, so that one whose acknowledgement was lost can be sent again.
+    /// A document whose revision is not higher than the newest document's is acknowledged and changes
+    /// nothing, so that an operator can resend a document after a lost acknowledgement.
     ///
     /// # Errors
     ///
-    /// Returns an error when the document is invalid, or when it may or may not have been taken
-    /// over.
+    /// Returns an error when the document is invalid, or when it is unknown whether it was accepted.
     pub async fn put_document(self: &Rc<Self>, body: Bytes) -> Result<RegisterOutcome, PutError> {
         let document = (self.dialect.decode_document)(&body);
         let checked = document.and_then(|document| document.check().map(|()| document.revision));
@@ -382,8 +389,8 @@
             }
         };
         let text = RoutingText::pack(revision, &body);
-        let patience = self.settings().bounds.acknowledge.mul_f64(ACKNOWLEDGE_SHARE);
-        let deadline = Instant::now() + patience;
+        let time_limit = self.settings().bounds.acknowledge.mul_f64(ACKNOWLEDGE_TIMEOUT_RATIO);
+        let deadline = Instant::now() + time_limit;
         let mut tries = 0;
         while Instant::now() < deadline {
             tries += 1;
@@ -396,7 +403,7 @@
                     .text("outcome", outcome_name(outcome));
                 return Ok(outcome);
             }
-            sleep(PROPOSE_AGAIN).await;
+            sleep(PROPOSAL_RETRY_DELAY).await;
         }
         self.line(EventKind::Document)
             .number("revision", revision)
@@ -410,15 +417,15 @@
         let leader = self.leader_instance()?;
         let text = text.clone();
         let reply = if leader == self.own {
-            self.call(&self.own.clone(), PROPOSE_PATIENCE, |token| {
+            self.call(&self.own.clone(), PROPOSAL_TIMEOUT, |token| {
                 let proposer = Proposer { instance: self.own.clone(), token };
                 self.propose_here(&text, &proposer);
-                // Nothing is sent to oneself.
+                // The mesh drops messages to the daemon itself, so this is a placeholder.
                 PeerMessage::Farewell
             })
             .await
         } else {
-            self.call(&leader, PROPOSE_PATIENCE, |token| PeerMessage::Propose { token, text }).await
+            self.call(&leader, PROPOSAL_TIMEOUT, |token| PeerMessage::Propose { token, text }).await
         };
         match reply {
             Some(PeerReply::Proposed(DocumentVerdict::Done(outcome))) => Some(outcome),
@@ -426,7 +433,7 @@
         }
     }
 
-    /// Proposes a document to the replica here, which should lead.
+    /// Proposes a document to the local replica, which is expected to lead.
     pub(crate) fn propose_here(self: &Rc<Self>, text: &RoutingText, proposer: &Proposer) {
         let now = self.now();
         let held = {
@@ -462,8 +469,8 @@
         }
     }
 
-    /// Reports the outcome of a command to its proposer; for an accepted document, once the
-    /// reachable daemons have it in force or `CONFIRM_PATIENCE` has passed.
+    /// Reports the outcome of a command to its proposer. An accepted document is reported once the
+    /// reachable daemons have it in force or `CONFIRMATION_TIMEOUT` has passed.
     pub(crate) fn end_proposal(self: &Rc<Self>, proposer: Proposer, end: &ProposalEnd) {
         match *end {
             ProposalEnd::Lost => self.answer_proposer(&proposer, DocumentVerdict::Lost),
@@ -474,10 +481,10 @@
                 let gateway = Rc::clone(self);
                 tokio::task::spawn_local(async move {
                     if outcome == RegisterOutcome::Accepted {
-                        let everywhere = gateway.until_in_force(revision);
-                        // Those that have not confirmed in time are refused callers with keys
-                        // before the document has to be in force.
-                        let _ = timeout(CONFIRM_PATIENCE, everywhere).await;
+                        let everywhere = gateway.wait_until_in_force(revision);
+                        // A daemon that does not confirm in time loses its proof, and refuses
+                        // callers with keys before the document has to be in force.
+                        let _ = timeout(CONFIRMATION_TIMEOUT, everywhere).await;
                     }
                     gateway.answer_proposer(&proposer, DocumentVerdict::Done(outcome));
                 });
@@ -485,7 +492,8 @@
         }
     }
 
-    async fn until_in_force(&self, revision: RoutingRevision) {
+    /// Waits until all daemons that were heard recently have the revision in force.
+    async fn wait_until_in_force(&self, revision: RoutingRevision) {
         loop {
             let changed = self.document_changed.notified();
             let is_hub = self.tier() == Tier::Hub;
@@ -495,7 +503,7 @@
                     documents.in_force.get(instance).is_some_and(|held| *held >= revision)
                 };
                 let roster = self.roster.borrow();
-                let near = roster.heard_within(self.now(), CONFIRMED_BY);
+                let near = roster.heard_within(self.now(), CONFIRMATION_MAX_SILENCE);
                 let mut confirming = near.filter(|note| !is_hub || note.has_disk);
                 confirming.all(|note| has(&note.instance))
             };
@@ -506,13 +514,13 @@
         }
     }
 
-    /// Reads the newest document, as its operator sent it.
+    /// Returns the newest document exactly as the operator sent it.
     ///
     /// # Errors
     ///
-    /// Returns an error when it is not certain which one is the newest.
+    /// Returns an error when it is uncertain which document is the newest.
     pub async fn read_document(&self) -> Result<Vec<u8>, ReadError> {
-        let read = timeout(READ_PATIENCE, self.read_newest()).await;
+        let read = timeout(READ_TIMEOUT, self.read_newest()).await;
         let text = read.ok().flatten().ok_or(ReadError::Uncertain)?;
         text.unpack().map_err(|error| {
             self.line(EventKind::Document).text("outcome", "unreadable").text("reason", error);
@@ -524,7 +532,7 @@
         let newest = loop {
             match self.ask_newest().await {
                 Some(FreshVerdict::Newest(newest, _)) => break newest?,
-                _ => sleep(PROPOSE_AGAIN).await,
+                _ => sleep(PROPOSAL_RETRY_DELAY).await,
             }
         };
         loop {
--- a/crates/gateway/src/drains.rs
+++ b/crates/gateway/src/drains.rs
@@ -4,8 +4,8 @@
 //! get no new requests. Requests that already run there are not interrupted.
 //!
 //! The leader sends the drained data centres to all daemons when they change. They are also part
-//! of each proof that the routing document is current, so a daemon that missed the message is as
-//! up to date as its document.
+//! of each proof that the routing document is current, so a daemon that missed the message learns of
+//! the change with its next proof.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 use thiserror::Error;
 use tokio::time::{Instant, sleep, timeout_at};
 
-use crate::documents::{ACKNOWLEDGE_SHARE, PROPOSE_AGAIN, PROPOSE_PATIENCE};
+use crate::documents::{ACKNOWLEDGE_TIMEOUT_RATIO, PROPOSAL_RETRY_DELAY, PROPOSAL_TIMEOUT};
 use crate::events::EventKind;
 use crate::gateway::{Gateway, PeerReply};
 use crate::peers::{DrainVerdict, FreshVerdict, PeerMessage};
@@ -51,8 +51,8 @@
         data_centre: &DataCentreId,
         is_drained: bool,
     ) -> Result<(), DrainError> {
-        let patience = self.settings().bounds.acknowledge.mul_f64(ACKNOWLEDGE_SHARE);
-        let deadline = Instant::now() + patience;
+        let time_limit = self.settings().bounds.acknowledge.mul_f64(ACKNOWLEDGE_TIMEOUT_RATIO);
+        let deadline = Instant::now() + time_limit;
         let proposed = timeout_at(deadline, self.propose_drain(data_centre, is_drained)).await;
         let (result, outcome) = match proposed {
             Ok(DrainOutcome::Changed) => (Ok(()), "changed"),
@@ -80,7 +80,7 @@
             if let Some(outcome) = self.propose_drain_once(&command).await {
                 return outcome;
             }
-            sleep(PROPOSE_AGAIN).await;
+            sleep(PROPOSAL_RETRY_DELAY).await;
         }
     }
 
@@ -89,7 +89,7 @@
             if let Some(FreshVerdict::Newest(_, drains)) = self.ask_newest().await {
                 return drains.revision();
             }
-            sleep(PROPOSE_AGAIN).await;
+            sleep(PROPOSAL_RETRY_DELAY).await;
         }
     }
 
@@ -97,15 +97,15 @@
         let leader = self.leader_instance()?;
         let command = command.clone();
         let reply = if leader == self.own {
-            self.call(&self.own.clone(), PROPOSE_PATIENCE, |token| {
+            self.call(&self.own.clone(), PROPOSAL_TIMEOUT, |token| {
                 let proposer = Proposer { instance: self.own.clone(), token };
                 self.propose_drain_here(command, &proposer);
-                // Nothing is sent to oneself.
+                // The mesh drops messages to the daemon itself, so this is a placeholder.
                 PeerMessage::Farewell
             })
             .await
         } else {
-            self.call(&leader, PROPOSE_PATIENCE, |token| PeerMessage::ProposeDrain {
+            self.call(&leader, PROPOSAL_TIMEOUT, |token| PeerMessage::ProposeDrain {
                 token,
                 command,
             })
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Proposes a command to the replica here, which should lead.
+    /// Proposes a command to the local replica, which is expected to lead.
     pub(crate) fn propose_drain_here(self: &Rc<Self>, command: DrainCommand, proposer: &Proposer) {
         let is_proposed = match self.replica.borrow_mut().as_mut() {
             Some(replica) => replica.propose(&LogCommand::Drain(command), proposer.clone()).is_ok(),
@@ -142,7 +142,7 @@
     }
 
     /// Sends the drained data centres, as the leader, to all daemons that are alive.
-    pub(crate) fn spread_drains(&self, drains: &DrainRegister) {
+    pub(crate) fn broadcast_drains(&self, drains: &DrainRegister) {
         let to: Vec<InstanceId> = {
             let roster = self.roster.borrow();
             roster.alive(self.now()).map(|note| note.instance.clone()).collect()
--- a/crates/gateway/src/founding.rs
+++ b/crates/gateway/src/founding.rs
@@ -1,10 +1,11 @@
-//! Who votes: the first voters of a new system, and the successors of lost ones.
+//! Selects voters: the first voters of a new system, and the replacements of lost voters. A voter is a
+//! replica that votes in elections and counts towards the majority that commits an entry.
 //!
-//! Exactly one system may ever form. A fresh replica that may found one waits until the daemons
-//! have met; then the first of them by name chooses the first voters and the others follow. That
-//! choice only has to be likely to be common. That no two systems form is safe without it: a
-//! replica keeps its choice on its disk before it names it, and a system forms only when *all*
-//! its first voters have named the same set (see `oriolepass-consensus`).
+//! Only one system may ever form. An empty replica that may found a system waits until the daemons
+//! have discovered each other. Then the daemon with the lowest id chooses the first voters, and the
+//! others follow. This makes a common choice likely; safety does not depend on it. A replica stores
+//! its choice on disk before it announces the choice, and a system forms only when *all* its first
+//! voters have announced the same set (see `oriolepass-consensus`), so two systems cannot form.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,29 +13,30 @@
 use oriolepass_settings::ToleranceSettings;
 use oriolepass_units::{DataCentreId, InstanceId, MonotonicTime};
 
-/// The daemons of a new system start within some 0.3 s of each other; this leaves a slow one
-/// time to greet the seeds.
-const SURVEY_AT_LEAST: Duration = Duration::from_millis(1_500);
+/// The minimum time to discover candidates. The daemons of a new system start within some 0.3 s of
+/// each other; the rest leaves a slow daemon time to greet the seeds.
+const MIN_SURVEY_TIME: Duration = Duration::from_millis(1_500);
 
-/// The candidates must have been the same for this long.
-const SETTLED_FOR: Duration = Duration::from_millis(700);
+/// The candidates must be unchanged for this long before the first voters are chosen.
+const CANDIDATES_STABLE_TIME: Duration = Duration::from_millis(700);
 
-/// After this long the system is founded with fewer voters than the tolerance asks for.
-const SURVEY_AT_MOST: Duration = Duration::from_secs(6);
+/// After this time the system is founded even with fewer voters than the tolerance requires.
+const MAX_SURVEY_TIME: Duration = Duration::from_secs(6);
 
-/// A voter that has been silent for this long is replaced where a spare disk is at hand. Longer
-/// than an election and a quick restart, shorter than the time allowed for a repair.
-const REPLACED_AFTER: Duration = Duration::from_millis(1_800);
+/// A voter that has been silent for this long is replaced if a spare daemon with a disk is available.
+/// This is longer than an election and a quick restart, and shorter than the time allowed for a
+/// repair.
+const VOTER_REPLACEMENT_TIMEOUT: Duration = Duration::from_millis(1_800);
 
-/// Returns how many voters bear the losses asked for.
+/// Returns the number of voters that tolerates the losses in the settings.
 ///
-/// Losing a data centre takes all voters there, so each counts as many as stand in one when they
-/// are spread evenly; three data centres bear the loss of one with any odd number.
+/// The loss of a data centre removes all its voters, as many as each data centre holds when the voters
+/// are spread evenly. With three data centres any odd number of voters tolerates the loss of one.
 pub(crate) fn voter_count(tolerance: &ToleranceSettings) -> usize {
     2 * tolerance.instances.max(tolerance.data_centres).max(1) + 1
 }
 
-/// Looks out for the other founders of a new system.
+/// Collects the daemons that may found a new system until the candidates are stable.
 #[derive(Debug)]
 pub(crate) struct FoundingSurvey {
     started: MonotonicTime,
@@ -47,8 +49,8 @@
         Self { started: now, seen: BTreeMap::new(), changed: now }
     }
 
-    /// Takes in the daemons that may found a system, this one included; returns the first voters
-    /// once it is this daemon's turn to choose them.
+    /// Records the daemons that may found a system, including this daemon. Returns the first voters
+    /// if the candidates are stable and this daemon is the one that chooses.
     pub(crate) fn choose(
         &mut self,
         now: MonotonicTime,
@@ -63,14 +65,14 @@
         let wanted = voter_count(tolerance);
         let enough = self.seen.len() >= wanted;
         let waited = now.since(self.started);
-        let is_ripe = if enough { waited >= SURVEY_AT_LEAST } else { waited >= SURVEY_AT_MOST };
-        let settled = now.since(self.changed) >= SETTLED_FOR;
+        let has_waited = if enough { waited >= MIN_SURVEY_TIME } else { waited >= MAX_SURVEY_TIME };
+        let is_stable = now.since(self.changed) >= CANDIDATES_STABLE_TIME;
         let is_first = self.seen.keys().next() == Some(own);
-        (is_ripe && settled && is_first).then(|| spread(&self.seen, wanted))
+        (has_waited && is_stable && is_first).then(|| spread(&self.seen, wanted))
     }
 }
 
-/// Chooses an odd number of candidates, spread over the data centres.
+/// Chooses an odd number of candidates, spread evenly over the data centres.
 fn spread(candidates: &BTreeMap<InstanceId, DataCentreId>, wanted: usize) -> Vec<InstanceId> {
     let mut by_centre: BTreeMap<&DataCentreId, Vec<&InstanceId>> = BTreeMap::new();
     for (instance, centre) in candidates {
@@ -85,7 +87,7 @@
     in_turn.into_iter().take(wanted.min(odd)).collect()
 }
 
-/// What the leader knows of a daemon with a disk.
+/// The state of a daemon with a disk, as the leader knows it.
 #[derive(Debug, Clone)]
 pub(crate) struct DiskDaemon {
     pub(crate) data_centre: DataCentreId,
@@ -93,30 +95,31 @@
     pub(crate) is_leaving: bool,
 }
 
-/// Returns the voters to want instead, where some are lost and spare disks are at hand.
-pub(crate) fn replaced_voters(
+/// Returns the changed set of wanted voters if spare daemons with a disk can replace lost voters or
+/// fill missing places.
+pub(crate) fn voters_with_replacements(
     wanted: &BTreeSet<InstanceId>,
     disks: &BTreeMap<InstanceId, DiskDaemon>,
     tolerance: &ToleranceSettings,
 ) -> Option<BTreeSet<InstanceId>> {
-    let is_sound = |disk: &DiskDaemon| disk.silence < REPLACED_AFTER && !disk.is_leaving;
+    let is_sound = |disk: &DiskDaemon| disk.silence < VOTER_REPLACEMENT_TIMEOUT && !disk.is_leaving;
     let lost = |instance: &&InstanceId| !disks.get(*instance).is_some_and(is_sound);
     let mut spares: Vec<(&InstanceId, &DiskDaemon)> = disks
         .iter()
         .filter(|(instance, disk)| !wanted.contains(*instance) && is_sound(disk))
         .collect();
     let mut next = wanted.clone();
-    for loser in wanted.iter().filter(lost) {
-        let centre = disks.get(loser).map(|disk| &disk.data_centre);
+    for lost_voter in wanted.iter().filter(lost) {
+        let centre = disks.get(lost_voter).map(|disk| &disk.data_centre);
         let near = spares.iter().position(|(_, disk)| Some(&disk.data_centre) == centre);
         let at = near.unwrap_or(0);
         if at < spares.len() {
-            next.remove(loser);
+            next.remove(lost_voter);
             next.insert(spares.remove(at).0.clone());
         }
     }
     let lacking = voter_count(tolerance).saturating_sub(next.len());
-    // Two at a time keep the number odd.
+    // Voters are added in pairs, which keeps their number odd.
     let added = spares.iter().take(lacking - lacking % 2).map(|(instance, _)| (*instance).clone());
     if added.len() == lacking - lacking % 2 {
         next.extend(added);
--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -1,5 +1,5 @@
-//! The duty that runs the replica of the log: its time, its disk, founding and joining, what it
-//! wants sent, and who votes.
+//! Runs the replica of the log inside the gateway: advances its clock, handles storage reports, founds
+//! or joins a system, sends its messages, and maintains the set of voters.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -11,28 +11,28 @@
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
 use crate::events::EventKind;
-use crate::founding::{DiskDaemon, replaced_voters};
+use crate::founding::{DiskDaemon, voters_with_replacements};
 use crate::gateway::Gateway;
 use crate::lifecycle::Lifecycle;
 use crate::peers::PeerMessage;
 use crate::replica::{DiskFailure, ReplicaDriver, ReplicaEffects, StorageReport};
 use crate::roster::DaemonPhase;
 
-/// Between two ticks of the replica: a fraction of the heartbeat of the log.
-const REPLICA_TICK: Duration = Duration::from_millis(25);
+/// The interval between ticks of the replica: a fraction of the log's heartbeat interval.
+const REPLICA_TICK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Between two looks at who should vote.
-const VOTERS_EVERY: Duration = Duration::from_millis(500);
+/// The interval between reviews of the voters.
+const VOTER_REVIEW_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Gateway {
-    /// Reads the node of the replica, while that runs.
+    /// Applies `read` to the replica's node; returns `None` if the replica is not running.
     pub(crate) fn with_node<T>(&self, read: impl FnOnce(&ConsensusNode) -> T) -> Option<T> {
         self.replica.borrow().as_ref().and_then(ReplicaDriver::node).map(read)
     }
 
-    /// Runs the replica: time, the storage thread's reports, founding, joining.
+    /// Ticks the replica and handles the storage thread's reports until their channel is closed.
     pub(crate) async fn run_replica(self: Rc<Self>, mut reports: UnboundedReceiver<StorageReport>) {
-        let mut ticks = interval(REPLICA_TICK);
+        let mut ticks = interval(REPLICA_TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Says what the replica's start found, and while it has no leader, whom it sees.
+    /// Logs the state that the replica's start recovered, and reports a missing leader.
     fn report_replica(&self, now: MonotonicTime) {
         let (recovery, leaderless) = {
             let mut replica = self.replica.borrow_mut();
@@ -88,7 +88,8 @@
         }
     }
 
-    /// Tells a majority that is missing from one that does not agree.
+    /// Logs that the replica has no leader, with the voters and the other live replicas. The log line
+    /// thus distinguishes a missing majority from a majority that does not agree on a leader.
     fn report_no_leader(&self, now: MonotonicTime, time: Duration) {
         let voters = self.own_voters();
         let replicas: Vec<InstanceId> = {
@@ -108,7 +109,7 @@
         });
     }
 
-    /// Starts a replica with an empty disk as soon as it is clear which system it belongs to.
+    /// Starts a replica with an empty disk once it is known which system to join or found.
     fn start_empty_replica(self: &Rc<Self>, now: MonotonicTime) {
         if !self.replica.borrow().as_ref().is_some_and(ReplicaDriver::is_empty) {
             return;
@@ -166,7 +167,7 @@
         if let Some(DiskFailure { error, was_running }) = failure {
             let outcome = if was_running { "stopped" } else { "not started" };
             self.line(EventKind::Replica).text("outcome", outcome).text("reason", error);
-            self.look_for_leader();
+            self.update_leader();
         }
         self.metrics.syncs.inc_by(u64::from(is_sync));
         self.carry_out(effects);
@@ -181,7 +182,8 @@
         let now = self.now();
         let is_waiting = self.replica.borrow().as_ref().is_some_and(ReplicaDriver::is_empty);
         if is_waiting {
-            // Another founder has chosen; only a list with this daemon in it concerns it.
+            // Another founder has chosen the first voters. The choice is ignored unless it includes
+            // this daemon.
             if let ConsensusMessage::Forming { first_voters, .. } = &envelope.message
                 && first_voters.contains(&self.own)
                 && self.settings().seeds.may_found
@@ -195,7 +197,7 @@
         self.step_replica();
     }
 
-    /// Carries out what the replica wants done.
+    /// Steps the replica and carries out the effects.
     pub(crate) fn step_replica(self: &Rc<Self>) {
         let now = self.now();
         let effects = match self.replica.borrow_mut().as_mut() {
@@ -212,13 +214,13 @@
         }
         if let Some(text) = effects.newest {
             if self.with_node(ConsensusNode::role) == Some(NodeRole::Leader) {
-                self.spread_document(&text);
+                self.disseminate_document(&text);
             }
             self.adopt_document(text);
         }
         if let Some(drains) = effects.drains {
             if self.with_node(ConsensusNode::role) == Some(NodeRole::Leader) {
-                self.spread_drains(&drains);
+                self.broadcast_drains(&drains);
             }
             self.adopt_drains(&drains);
         }
@@ -226,25 +228,26 @@
             self.end_proposal(proposer, &end);
         }
         let known = self.with_node(|node| (node.term(), node.leader().map(|l| l.instance.clone())));
-        let believed = self.leader.borrow().clone();
+        let recorded = self.leader.borrow().clone();
         if let Some((term, leader)) = known {
-            let is_news = match (&leader, &believed) {
+            let is_changed = match (&leader, &recorded) {
                 (Some(leader), Some((t, l))) => term >= *t && (term, leader) != (*t, l),
                 (Some(_), None) => true,
                 (None, Some((t, l))) => term >= *t && *l == self.own,
                 (None, None) => false,
             };
-            if is_news {
-                self.look_for_leader();
+            if is_changed {
+                self.update_leader();
                 self.greet_now();
             }
         }
     }
 
-    /// As the leader, replaces voters that are lost; as a replica outside, keeps asking.
+    /// Reviews the voters at an interval: the leader replaces lost voters, and a replica that is not a
+    /// member yet learns the voters that it can ask for membership.
     pub(crate) async fn maintain_voters(self: Rc<Self>) {
         loop {
-            sleep(VOTERS_EVERY).await;
+            sleep(VOTER_REVIEW_INTERVAL).await;
             self.review_voters();
         }
     }
@@ -276,7 +279,7 @@
             is_leaving: *self.lifecycle.borrow() != Lifecycle::Serving,
         };
         disks.insert(self.own.clone(), own);
-        if let Some(next) = replaced_voters(&wanted, &disks, &settings.tolerance) {
+        if let Some(next) = voters_with_replacements(&wanted, &disks, &settings.tolerance) {
             self.line(EventKind::Voters)
                 .text("before", join(&wanted))
                 .text("wanted", join(&next))
