--- a/crates/gateway/src/replica/mod.rs
+++ b/crates/gateway/src/replica/mod.rs
@@ -31,7 +31,8 @@
 
 /// The minimum time without a leader before an election; the maximum is twice this. It is longer than
 /// the retransmission of a lost packet (200 ms) and than several heartbeats. A replica that is slow
-/// for longer does not depose the leader, because a pre-vote precedes each election.
+/// for longer does not depose the leader, because a pre-vote precedes each
+/// election that follows this time-out.
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// The interval between heartbeats of a leader.
--- a/crates/gateway/src/replica/storage.rs
+++ b/crates/gateway/src/replica/storage.rs
@@ -1,6 +1,7 @@
 //! Runs the storage thread, which reads the disk and then syncs the batches of the log's replica.
 //!
-//! All access to the disk is on this thread, so a disk that hangs blocks no other thread.
+//! The thread has no other work and no other thread accesses the log's files, so a disk that hangs
+//! during a write of the log blocks only this thread.
 
 use std::path::PathBuf;
 use std::sync::mpsc;
