--- a/crates/gateway/src/home.rs
+++ b/crates/gateway/src/home.rs
@@ -12,7 +12,8 @@
 use std::time::Duration;
 
 use oriolepass_placement::{
-    EngineCell, EngineFacts, EngineFleet, EngineScope, PromptAsk, PromptKey, PromptPlan, SpareLack,
+    EngineCell, EngineFacts, EngineFleet, EngineScope, PlacementRefusal, PromptAsk, PromptKey,
+    PromptPlan,
 };
 use oriolepass_routing::{ColdStart, RoutingRevision};
 use oriolepass_units::{EndpointStart, InstanceId, MonotonicTime};
@@ -93,7 +94,7 @@
         &self,
         request: &str,
         ask: &PromptAsk,
-    ) -> (Result<PromptPlan, SpareLack>, PlacedBy) {
+    ) -> (Result<PromptPlan, PlacementRefusal>, PlacedBy) {
         if self.is_leader() {
             return (self.place_own(ask, EngineScope::All), PlacedBy::Home);
         }
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use oriolepass_consensus::Envelope;
-use oriolepass_placement::{EngineCell, PromptAsk, PromptKey, PromptPlan, SpareLack};
+use oriolepass_placement::{EngineCell, PlacementRefusal, PromptAsk, PromptKey, PromptPlan};
 use oriolepass_quarantine::CaseNews;
 use oriolepass_routing::{
     DrainCommand, DrainOutcome, DrainRegister, RegisterOutcome, RoutingRevision, RoutingText,
@@ -47,7 +47,7 @@
 }
 
 /// A home's answer to a prompt.
-pub(crate) type PlaceVerdict = Result<PromptPlan, SpareLack>;
+pub(crate) type PlaceVerdict = Result<PromptPlan, PlacementRefusal>;
 
 /// What became of a placed prompt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/placement/src/fleet.rs
+++ b/crates/placement/src/fleet.rs
@@ -14,7 +14,7 @@
 use crate::demand::DemandMeter;
 use crate::farm::EngineFarm;
 use crate::passes::{EnginePasses, PassPrompt};
-use crate::plan::{HelperPart, LackReason, PromptAsk, PromptKey, PromptPlan, SpareLack};
+use crate::plan::{HelperPart, LackReason, PlacementRefusal, PromptAsk, PromptKey, PromptPlan};
 use crate::scope::EngineScope;
 
 /// The part of an engine's memory that is used; the rest is for answers longer than expected,
@@ -184,7 +184,11 @@
     /// # Errors
     ///
     /// Returns when to ask again where no engine of the service takes work.
-    pub fn place(&mut self, now: MonotonicTime, ask: &PromptAsk) -> Result<PromptPlan, SpareLack> {
+    pub fn place(
+        &mut self,
+        now: MonotonicTime,
+        ask: &PromptAsk,
+    ) -> Result<PromptPlan, PlacementRefusal> {
         self.place_among(now, ask, EngineScope::All)
     }
 
@@ -198,7 +202,7 @@
         now: MonotonicTime,
         ask: &PromptAsk,
         scope: EngineScope,
-    ) -> Result<PromptPlan, SpareLack> {
+    ) -> Result<PromptPlan, PlacementRefusal> {
         // One that is asked for again has lost its answer, and goes where it is told now.
         if self.placed.contains_key(&ask.key) {
             self.ended(now, ask.key);
@@ -226,31 +230,31 @@
         }
         let Some(profile) = views.first().map(|(e, _)| Arc::clone(&self.engines[e].facts.profile))
         else {
-            return Err(SpareLack { reason: LackReason::NoEngine, retry_after: SHUN_FIRST });
+            return Err(PlacementRefusal { reason: LackReason::NoEngine, retry_after: SHUN_FIRST });
         };
         let job = self.job(now, ask, &profile, &views);
         let views = without_backlog(&job, views);
         if views.is_empty() {
-            return Err(SpareLack { reason: LackReason::Backlog, retry_after: LULL_RETRY });
+            return Err(PlacementRefusal { reason: LackReason::Backlog, retry_after: LULL_RETRY });
         }
         let apart = ask.is_suspect.then(|| best_group(&job, &least_disturbing(&views))).flatten();
         let best = apart
             .or_else(|| best_group(&job, &views))
-            .ok_or(SpareLack { reason: LackReason::NoMemory, retry_after: SHUN_FIRST })?;
+            .ok_or(PlacementRefusal { reason: LackReason::NoMemory, retry_after: SHUN_FIRST })?;
         if is_crowded_out(&job, &views, best.first_ms) {
-            return Err(SpareLack { reason: LackReason::Crowded, retry_after: LULL_RETRY });
+            return Err(PlacementRefusal { reason: LackReason::Crowded, retry_after: LULL_RETRY });
         }
         let counts_risk = job.long_demand.counts_risk(job.engines);
         let loss = if counts_risk { best.badness } else { best.loss };
         if !job.cost.is_short() && loss > job.value {
             // Its engines would lose more by it than it brings.
-            return Err(SpareLack { reason: LackReason::TooDear, retry_after: LULL_RETRY });
+            return Err(PlacementRefusal { reason: LackReason::TooDear, retry_after: LULL_RETRY });
         }
         if best.first_ms > millis(ask.deadline) {
             // It would only keep engines from prompts that still have a chance.
             let spare_ms = (best.first_ms - millis(ask.deadline)).clamp(500.0, 4_000.0);
             let retry_after = Duration::from_secs_f64(spare_ms / 1_000.0);
-            return Err(SpareLack { reason: LackReason::TooLate, retry_after });
+            return Err(PlacementRefusal { reason: LackReason::TooLate, retry_after });
         }
         let plan = plan(&job, &views, &profile, &best);
         let (is_short, value, work_ms) = (job.cost.is_short(), job.value, job.cost.whole_ms);
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -25,5 +25,5 @@
 pub use farm::{EngineFarm, FarmEvent};
 pub use fleet::{EngineFacts, EngineFleet};
 pub use passes::{AnswerEnd, EnginePasses, PassEvent, PassPrompt};
-pub use plan::{HelperPart, LackReason, PromptAsk, PromptKey, PromptPlan, SpareLack};
+pub use plan::{HelperPart, LackReason, PlacementRefusal, PromptAsk, PromptKey, PromptPlan};
 pub use scope::{EngineCell, EngineScope};
--- a/crates/placement/src/plan.rs
+++ b/crates/placement/src/plan.rs
@@ -105,7 +105,7 @@
 
 /// A prompt is not placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SpareLack {
+pub struct PlacementRefusal {
     /// Why not.
     pub reason: LackReason,
     /// When it is worth asking again.
