--- a/crates/gateway/src/front/placement.rs
+++ b/crates/gateway/src/front/placement.rs
@@ -127,7 +127,7 @@
         let (placed, by) = gateway.place_prompt(&request.id, &ask).await;
         let plan = placed.map_err(|lack| {
             let (reason, after) = (lack.reason.name(), lack.retry_after);
-            if lack.reason.may_pass_soon() {
+            if lack.reason.is_transient() {
                 no_endpoint(gateway, request, reason, after)
             } else {
                 NoPlace::Refused(reason, after)
--- a/crates/placement/src/plan.rs
+++ b/crates/placement/src/plan.rs
@@ -86,7 +86,7 @@
 
 impl LackReason {
     /// Returns whether it may be otherwise within the part of an objective that a prompt waits.
-    pub fn may_pass_soon(self) -> bool {
+    pub fn is_transient(self) -> bool {
         self != Self::Crowded
     }
 
