--- a/crates/experiment/src/fleet_run.rs
+++ b/crates/experiment/src/fleet_run.rs
@@ -190,7 +190,7 @@
             parts: u32::try_from(placed.helpers.len() + 1).expect("a few parts"),
             answer_tokens: prompt.answer_events * u64::from(self.plan.profile.steps_per_pass),
             priority: placed.engine_priority,
-            kept_elsewhere: placed.helpers.iter().filter_map(|h| h.reserve_tokens).sum(),
+            tokens_at_helpers: placed.helpers.iter().filter_map(|h| h.reserve_tokens).sum(),
         };
         self.work_until(now_ms);
         if !self.farm.take(now_ms, &placed.main, &placed.helpers, &read) {
--- a/crates/placement/src/fleet.rs
+++ b/crates/placement/src/fleet.rs
@@ -471,7 +471,7 @@
             parts: u32::try_from(parts).unwrap_or(u32::MAX),
             answer_tokens: ask.answer_tokens,
             priority: plan.engine_priority,
-            kept_elsewhere: plan.helpers.iter().filter_map(|helper| helper.reserve_tokens).sum(),
+            tokens_at_helpers: plan.helpers.iter().filter_map(|helper| helper.reserve_tokens).sum(),
         };
         let engines: Vec<EndpointStart> = std::iter::once(&plan.main)
             .chain(plan.helpers.iter().map(|helper| &helper.endpoint))
--- a/crates/placement/src/passes.rs
+++ b/crates/placement/src/passes.rs
@@ -29,13 +29,13 @@
     /// Its rank in the queue; 0 is first.
     pub priority: u8,
     /// Tokens of the prompt that are kept at helpers, in memory reserved there.
-    pub kept_elsewhere: u64,
+    pub tokens_at_helpers: u64,
 }
 
 impl PassPrompt {
     /// Returns the tokens of memory that it needs where its answer is written.
     fn memory_tokens(&self) -> u64 {
-        self.prompt_tokens.saturating_sub(self.kept_elsewhere) + self.answer_tokens
+        self.prompt_tokens.saturating_sub(self.tokens_at_helpers) + self.answer_tokens
     }
 }
 
--- a/crates/placement/tests/long_surges.rs
+++ b/crates/placement/tests/long_surges.rs
@@ -59,7 +59,7 @@
         parts: 2,
         answer_tokens: 100,
         priority: 6,
-        kept_elsewhere: 0,
+        tokens_at_helpers: 0,
     };
     // Both are read by the first engine beside one of their own.
     assert!(farm.take(0.0, &common::endpoint(1), &helped, &prompt(1)));
--- a/crates/placement/tests/placing.rs
+++ b/crates/placement/tests/placing.rs
@@ -47,7 +47,7 @@
         parts,
         answer_tokens: 46 * 24,
         priority: 2,
-        kept_elsewhere: 0,
+        tokens_at_helpers: 0,
     };
     farm.take(0.0, &endpoint(0), &[], &prompt(1, 1_828, 1));
     let events = farm.advance(3_000.0);
@@ -338,7 +338,7 @@
                     parts: 1,
                     answer_tokens: prompt.answer_tokens,
                     priority: plan.engine_priority,
-                    kept_elsewhere: 0,
+                    tokens_at_helpers: 0,
                 };
                 farm.take(now as f64, &plan.main, &[], &pass);
             }
