--- a/crates/placement/src/farm.rs
+++ b/crates/placement/src/farm.rs
@@ -1,4 +1,5 @@
-//! Engines together: a prompt that several read is written once its last part has been read.
+//! Simulates several engines in logical time, with prompts that are read in parts by several of
+//! them. The answer of such a prompt is written once its last part has been read.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,10 +10,10 @@
 use crate::passes::{AnswerEnd, EnginePasses, PassEvent, PassPrompt};
 use crate::plan::{HelperPart, PromptKey};
 
-/// What the engines have to say.
+/// An event of an answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FarmEvent {
-    /// When, in milliseconds.
+    /// Time of the event, in milliseconds.
     pub at_ms: f64,
     /// The prompt.
     pub key: PromptKey,
@@ -22,12 +23,12 @@
 
 #[derive(Debug, Clone)]
 struct OpenPrompt {
-    /// The engines used; the first one writes.
+    /// The engines of the group, the main engine first.
     engines: Vec<EndpointStart>,
     unread_parts: usize,
 }
 
-/// Engines in logical time.
+/// Several engines in logical time.
 #[derive(Debug, Default)]
 pub struct EngineFarm {
     answer_end: AnswerEnd,
@@ -41,7 +42,7 @@
         Self { answer_end, ..Self::default() }
     }
 
-    /// Adds an idle engine if it is not there yet.
+    /// Adds an idle engine unless the farm has it already.
     pub fn add(&mut self, endpoint: &EndpointStart, profile: &Arc<EngineProfile>) {
         if !self.engines.contains_key(endpoint) {
             self.engines
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Removes engines.
+    /// Removes the engines for which `is_kept` returns false.
     pub fn retain(&mut self, is_kept: impl Fn(&EndpointStart) -> bool) {
         self.engines.retain(|endpoint, _| is_kept(endpoint));
     }
@@ -59,17 +60,17 @@
         self.engines.get(endpoint)
     }
 
-    /// Returns the engines that a prompt uses, the one that writes first.
+    /// Returns the engines of a prompt, the main engine first.
     pub fn engines_of(&self, key: PromptKey) -> &[EndpointStart] {
         self.open.get(&key).map_or(&[], |open| &open.engines)
     }
 
-    /// Returns the prompts that are open.
+    /// Returns the keys of the open prompts.
     pub fn open_keys(&self) -> impl Iterator<Item = PromptKey> {
         self.open.keys().copied()
     }
 
-    /// Gives a prompt to engines; returns whether the one that is to write it had room.
+    /// Places a prompt on its engines. Returns whether the main engine had room.
     pub fn take(
         &mut self,
         now_ms: f64,
@@ -84,8 +85,8 @@
         let mut engines = vec![main.clone()];
         for helper in helpers {
             if let Some(engine) = self.engines.get_mut(&helper.endpoint) {
-                engine.keep(prompt.key, helper.reserve_tokens.unwrap_or(0));
-                engine.help(now_ms, prompt);
+                engine.reserve(prompt.key, helper.reserve_tokens.unwrap_or(0));
+                engine.read_part(now_ms, prompt);
                 engines.push(helper.endpoint.clone());
             }
         }
@@ -94,7 +95,7 @@
         true
     }
 
-    /// Takes over a prompt whose answer is being written already.
+    /// Adds a prompt whose answer is already being written.
     pub fn take_written(
         &mut self,
         now_ms: f64,
@@ -106,7 +107,7 @@
         engine.take_written(now_ms, prompt.clone());
         for helper in helpers {
             if let Some(engine) = self.engines.get_mut(&helper.endpoint) {
-                engine.keep(prompt.key, helper.reserve_tokens.unwrap_or(0));
+                engine.reserve(prompt.key, helper.reserve_tokens.unwrap_or(0));
             }
         }
         let helpers = helpers.iter().map(|helper| helper.endpoint.clone());
@@ -114,7 +115,7 @@
         self.open.insert(prompt.key, OpenPrompt { engines, unread_parts: 0 });
     }
 
-    /// Ends a prompt, whichever way.
+    /// Removes a prompt, regardless of how it ended.
     pub fn remove(&mut self, key: PromptKey) {
         for endpoint in self.open.remove(&key).map(|open| open.engines).unwrap_or_default() {
             if let Some(engine) = self.engines.get_mut(&endpoint) {
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Notes that a prompt's first event has come.
+    /// Records that a prompt's first event has come.
     pub fn first_event(&mut self, now_ms: f64, key: PromptKey) {
         let Some(open) = self.open.get_mut(&key) else { return };
         if std::mem::take(&mut open.unread_parts) == 0 {
@@ -140,8 +141,8 @@
         }
     }
 
-    /// Returns when the last part of each prompt has been read that waits for its first event, in
-    /// milliseconds from now.
+    /// Returns the time until the last part has been read, in milliseconds, for each prompt that
+    /// waits for its first event.
     pub fn first_events(&self, now_ms: f64) -> BTreeMap<PromptKey, f64> {
         let mut firsts: BTreeMap<PromptKey, f64> = BTreeMap::new();
         for engine in self.engines.values() {
@@ -153,13 +154,13 @@
         firsts
     }
 
-    /// Returns when the next pass ends.
+    /// Returns the time at which the next pass ends, in milliseconds.
     pub fn next_end(&self) -> Option<f64> {
         let ends = self.engines.values().filter_map(EnginePasses::next_end);
         ends.min_by(f64::total_cmp)
     }
 
-    /// Lets the engines work until `now_ms`, and returns their events in order.
+    /// Advances the engines to `now_ms` and returns their events in order.
     pub fn advance(&mut self, now_ms: f64) -> Vec<FarmEvent> {
         let mut events = Vec::new();
         loop {
@@ -196,7 +197,7 @@
         if open.unread_parts > 0 {
             return;
         }
-        // The first event comes at the end of the pass in which the last part was read.
+        // The first event comes at the end of the pass in which the last part has been read.
         events.push(FarmEvent { at_ms, key, is_last: false });
         if let Some(main) = open.engines.first().and_then(|main| self.engines.get_mut(main)) {
             main.all_read(at_ms, key);
--- a/crates/placement/src/fleet.rs
+++ b/crates/placement/src/fleet.rs
@@ -1,4 +1,5 @@
-//! All engines, and the choice among them.
+//! Tracks the engines of all services and the prompts placed on them, and chooses the engines for a
+//! prompt.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{Hash, Hasher};
@@ -9,69 +10,72 @@
 use oriolepass_units::{EndpointStart, MonotonicTime, ServiceName};
 
 use crate::choice::{Candidate, Job, best_group, reserves, without_backlog};
-use crate::cost::{EngineView, Neighbour, ReadCost, WaitingPart, millis, patience_ms};
+use crate::cost::{EngineView, Neighbour, ReadCost, WaitingPart, caller_timeout_ms, millis};
 use crate::crowd::is_crowded_out;
 use crate::demand::DemandMeter;
 use crate::farm::EngineFarm;
 use crate::passes::{EnginePasses, PassPrompt};
-use crate::plan::{HelperPart, LackReason, PlacementRefusal, PromptAsk, PromptKey, PromptPlan};
+use crate::plan::{HelperPart, PlacementRefusal, PromptAsk, PromptKey, PromptPlan, RefusalReason};
 use crate::scope::EngineScope;
 
-/// The part of an engine's memory that is used; the rest is for answers longer than expected,
-/// a sixteenth as there are sixteen of them.
-const MEMORY_SHARE: f64 = 0.94;
+/// Share of an engine's memory that placements use. The rest, a sixteenth for sixteen slots, is for
+/// answers longer than expected.
+const USABLE_MEMORY_SHARE: f64 = 0.94;
 
-/// The pause of an engine after its first failure, some passes long; doubled with each further one.
-const SHUN_FIRST: Duration = Duration::from_millis(400);
+/// Time without new work for an engine after its first failure, a few passes long. It doubles with
+/// each further failure.
+const FAILURE_BACKOFF: Duration = Duration::from_millis(400);
 
-/// The most doublings of [`SHUN_FIRST`]: 6.4 s, longer than most troubles of the platform last.
-const SHUN_DOUBLINGS: u32 = 4;
+/// Maximum number of doublings of [`FAILURE_BACKOFF`], which gives 6.4 s: longer than most faults
+/// of the platform last.
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// The part of a service's engines that may be shunned at once: with fewer, the rest falls over.
-const SHUN_SHARE: f64 = 0.5;
+/// Maximum share of a service's engines in backoff at a time. More would overload the remaining
+/// engines.
+const MAX_BACKOFF_SHARE: f64 = 0.5;
 
-/// When a long prompt that was refused is worth sending again: surges last longer, but callers
-/// do not wait for more than a third of their time.
-const LULL_RETRY: Duration = Duration::from_millis(4_000);
+/// Retry delay of a prompt that is refused because of load. Surges last longer, but callers spend
+/// at most a third of their time on waiting.
+const OVERLOAD_RETRY_DELAY: Duration = Duration::from_millis(4_000);
 
-/// From this part of a service's engines on, a common silence is no fault of each: the platform's
-/// usual troubles take 15 % of them at a time.
-const SILENT_SHARE: f64 = 0.25;
+/// Share of a service's engines above which a simultaneous silence is not attributed to the single
+/// engines. The usual faults of the platform affect 15 % of the engines at a time.
+const COMMON_SILENCE_SHARE: f64 = 0.25;
 
-/// How long a silence counts as present.
-const SILENCE_COUNTS: Duration = Duration::from_millis(2_000);
+/// Time for which a reported silence counts as present.
+const SILENCE_TTL: Duration = Duration::from_millis(2_000);
 
-/// What is known of an engine from its own announcements.
+/// The state of an engine according to its own announcements.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineFacts {
     /// The engine.
     pub endpoint: EndpointStart,
-    /// The service that it belongs to.
+    /// The service to which the engine belongs.
     pub service: ServiceName,
-    /// Whether it may get new work.
+    /// Whether the engine accepts new work.
     pub takes_work: bool,
-    /// The most prompts that may be placed on it within a second, where that is limited.
+    /// Maximum number of prompts placed on the engine within a second, if limited.
     pub max_prompts_per_s: Option<u32>,
-    /// How it works.
+    /// The published behaviour of the engine.
     pub profile: Arc<EngineProfile>,
 }
 
 #[derive(Debug)]
 struct EngineEntry {
     facts: EngineFacts,
-    /// No new work before this moment, after a failure.
-    shunned_until: MonotonicTime,
+    /// End of the backoff after a failure; no new work is placed before.
+    backoff_until: MonotonicTime,
     failures: u32,
-    /// When it was last found silent with nothing that explains it.
+    /// Time of the last silence that no reading explains.
     silent_at: Option<MonotonicTime>,
-    /// The prompts that it writes, or will write.
+    /// The prompts whose main engine this is.
     mains: Vec<PromptKey>,
-    /// When prompts were placed on it lately; older times are dropped with the next placement.
+    /// Times of recent placements. Times that no longer count are removed with the next placement.
     recent_placements: VecDeque<MonotonicTime>,
 }
 
 impl EngineEntry {
-    /// Records a placement and drops those that no longer count towards the limit.
+    /// Records a placement and removes those that no longer count towards the limit.
     fn record_placement(&mut self, now: MonotonicTime) {
         self.recent_placements.push_back(now);
         while self.recent_placements.front().is_some_and(|at| now.since(*at) >= ONE_SECOND) {
@@ -93,15 +97,15 @@
 struct PlacedPrompt {
     value: f64,
     pause_ms: f64,
-    patience_ms: f64,
+    caller_timeout_ms: f64,
     due_ms: f64,
     has_begun: bool,
-    is_spoiled: bool,
+    has_late_pause: bool,
     is_short: bool,
     is_suspect: bool,
 }
 
-/// The engines of all services, as one home sees them.
+/// The engines of all services, as seen by one home.
 #[derive(Debug, Default)]
 pub struct EngineFleet {
     engines: BTreeMap<EndpointStart, EngineEntry>,
@@ -115,7 +119,7 @@
 }
 
 impl EngineFleet {
-    /// Takes over which engines there are.
+    /// Replaces the set of known engines.
     pub fn update(&mut self, facts: Vec<EngineFacts>) {
         let present: BTreeSet<EndpointStart> = facts.iter().map(|f| f.endpoint.clone()).collect();
         self.engines.retain(|endpoint, _| present.contains(endpoint));
@@ -126,7 +130,7 @@
                 Some(engine) => engine.facts = fact,
                 None => {
                     let entry = EngineEntry {
-                        shunned_until: MonotonicTime::ZERO,
+                        backoff_until: MonotonicTime::ZERO,
                         failures: 0,
                         silent_at: None,
                         mains: Vec::new(),
@@ -139,13 +143,14 @@
         }
     }
 
-    /// Returns the engines that a placed prompt uses, the one that writes first.
+    /// Returns the engines of a placed prompt, the main engine first.
     pub fn engines_of(&self, key: PromptKey) -> &[EndpointStart] {
         self.farm.engines_of(key)
     }
 
-    /// Notes that an engine has been silent for a while, and returns whether that is expected: it
-    /// reads, or so many are silent that the cause lies elsewhere.
+    /// Records that an engine has been silent for a while. Returns whether that is expected,
+    /// because the engine is reading or because so many engines are silent that the cause lies
+    /// elsewhere.
     pub fn explains_silence(
         &mut self,
         now: MonotonicTime,
@@ -163,18 +168,17 @@
         self.is_silence_common(now, &service)
     }
 
-    /// Returns whether so many engines of a service are silent that moving their prompts would
-    /// only load the others with the same reading again.
+    /// Returns whether so many engines of a service are silent that moving their prompts would only
+    /// make the other engines read the same prompts again.
     fn is_silence_common(&self, now: MonotonicTime, service: &ServiceName) -> bool {
         let of_service = || self.engines.values().filter(|e| e.facts.service == *service);
-        let is_silent = |engine: &&EngineEntry| {
-            engine.silent_at.is_some_and(|at| now.since(at) < SILENCE_COUNTS)
-        };
+        let is_silent =
+            |engine: &&EngineEntry| engine.silent_at.is_some_and(|at| now.since(at) < SILENCE_TTL);
         let silent = of_service().filter(is_silent).count() as f64;
-        silent > 1.0 && silent > of_service().count() as f64 * SILENT_SHARE
+        silent > 1.0 && silent > of_service().count() as f64 * COMMON_SILENCE_SHARE
     }
 
-    /// Returns the number of prompts that are placed now.
+    /// Returns the number of prompts that are placed at present.
     pub fn placed_count(&self) -> usize {
         self.placed.len()
     }
@@ -183,7 +187,7 @@
     ///
     /// # Errors
     ///
-    /// Returns when to ask again where no engine of the service takes work.
+    /// Returns the reason and a retry delay if the prompt is not placed.
     pub fn place(
         &mut self,
         now: MonotonicTime,
@@ -196,14 +200,14 @@
     ///
     /// # Errors
     ///
-    /// Returns when to ask again where no engine of the service takes work.
+    /// Returns the reason and a retry delay if the prompt is not placed.
     pub fn place_among(
         &mut self,
         now: MonotonicTime,
         ask: &PromptAsk,
         scope: EngineScope,
     ) -> Result<PromptPlan, PlacementRefusal> {
-        // One that is asked for again has lost its answer, and goes where it is told now.
+        // A prompt that is requested again has lost its answer and uses the new placement.
         if self.placed.contains_key(&ask.key) {
             self.ended(now, ask.key);
         }
@@ -214,7 +218,7 @@
         }
         let meter = self.demand.entry(ask.service.clone()).or_default();
         let helped_share = meter.long_demand(time_ms(now)).helped_share(usable.len());
-        // Short prompts are never helped, so they delay nobody's reading.
+        // Short prompts have no helpers, so they delay the reading of no other prompt.
         let firsts =
             if self.is_short(ask) { BTreeMap::new() } else { self.farm.first_events(time_ms(now)) };
         let mut views: Vec<(EndpointStart, EngineView)> = usable
@@ -230,41 +234,55 @@
         }
         let Some(profile) = views.first().map(|(e, _)| Arc::clone(&self.engines[e].facts.profile))
         else {
-            return Err(PlacementRefusal { reason: LackReason::NoEngine, retry_after: SHUN_FIRST });
+            return Err(PlacementRefusal {
+                reason: RefusalReason::NoEngine,
+                retry_after: FAILURE_BACKOFF,
+            });
         };
         let job = self.job(now, ask, &profile, &views);
         let views = without_backlog(&job, views);
         if views.is_empty() {
-            return Err(PlacementRefusal { reason: LackReason::Backlog, retry_after: LULL_RETRY });
+            return Err(PlacementRefusal {
+                reason: RefusalReason::Backlog,
+                retry_after: OVERLOAD_RETRY_DELAY,
+            });
         }
-        let apart = ask.is_suspect.then(|| best_group(&job, &least_disturbing(&views))).flatten();
-        let best = apart
-            .or_else(|| best_group(&job, &views))
-            .ok_or(PlacementRefusal { reason: LackReason::NoMemory, retry_after: SHUN_FIRST })?;
+        let separate =
+            ask.is_suspect.then(|| best_group(&job, &least_disturbing(&views))).flatten();
+        let best = separate.or_else(|| best_group(&job, &views)).ok_or(PlacementRefusal {
+            reason: RefusalReason::NoMemory,
+            retry_after: FAILURE_BACKOFF,
+        })?;
         if is_crowded_out(&job, &views, best.first_ms) {
-            return Err(PlacementRefusal { reason: LackReason::Crowded, retry_after: LULL_RETRY });
+            return Err(PlacementRefusal {
+                reason: RefusalReason::Crowded,
+                retry_after: OVERLOAD_RETRY_DELAY,
+            });
         }
         let counts_risk = job.long_demand.counts_risk(job.engines);
-        let loss = if counts_risk { best.badness } else { best.loss };
+        let loss = if counts_risk { best.adjusted_loss } else { best.loss };
         if !job.cost.is_short() && loss > job.value {
-            // Its engines would lose more by it than it brings.
-            return Err(PlacementRefusal { reason: LackReason::TooDear, retry_after: LULL_RETRY });
+            // The other prompts on its engines would lose more than this prompt gains.
+            return Err(PlacementRefusal {
+                reason: RefusalReason::TooDear,
+                retry_after: OVERLOAD_RETRY_DELAY,
+            });
         }
         if best.first_ms > millis(ask.deadline) {
-            // It would only keep engines from prompts that still have a chance.
+            // The prompt would only take engines from prompts that can still be on time.
             let spare_ms = (best.first_ms - millis(ask.deadline)).clamp(500.0, 4_000.0);
             let retry_after = Duration::from_secs_f64(spare_ms / 1_000.0);
-            return Err(PlacementRefusal { reason: LackReason::TooLate, retry_after });
+            return Err(PlacementRefusal { reason: RefusalReason::TooLate, retry_after });
         }
         let plan = plan(&job, &views, &profile, &best);
         let (is_short, value, work_ms) = (job.cost.is_short(), job.value, job.cost.whole_ms);
         let meter = self.demand.entry(ask.service.clone()).or_default();
         if is_short {
-            meter.arrived(time_ms(now), millis(plan.whole));
+            meter.record_short(time_ms(now), millis(plan.whole));
         } else {
-            meter.long_arrived(time_ms(now), value, work_ms);
+            meter.record_long(time_ms(now), value, work_ms);
         }
-        self.book(now, ask, &plan, false);
+        self.record_plan(now, ask, &plan, false);
         Ok(plan)
     }
 
@@ -297,8 +315,9 @@
         }
     }
 
-    /// Returns an engine as it stands now. `firsts` are the expected first events of all prompts; without them,
-    /// for a prompt that delays nobody, the prompts that wait are left out.
+    /// Returns the present state of an engine. `firsts` holds the expected first events of all
+    /// prompts. It is empty for a prompt that delays no others, and the waiting prompts are then
+    /// left out.
     fn view(
         &self,
         now: MonotonicTime,
@@ -310,12 +329,12 @@
         let entry = self.engines.get(&endpoint)?;
         let engine = self.farm.engine(&endpoint)?;
         let profile = &entry.facts.profile;
-        let usable_tokens = (profile.memory_tokens as f64 * MEMORY_SHARE) as u64;
+        let usable_tokens = (profile.memory_tokens as f64 * USABLE_MEMORY_SHARE) as u64;
         let view = EngineView {
             residual_ms: engine.residual_ms(now_ms),
             unread_ms: engine.unread_ms(),
             writing_pass_ms: engine.writing_pass_ms(),
-            room_in_ms: engine.room_in_ms(),
+            slot_free_in_ms: engine.slot_free_in_ms(),
             load: engine.load(),
             slots: profile.slots as usize,
             usable_tokens,
@@ -328,22 +347,23 @@
         Some((endpoint, view))
     }
 
-    /// Returns a prompt as far as another one on its engine may disturb it.
+    /// Returns what determines how another prompt disturbs this one on its engine.
     fn neighbour(&self, key: PromptKey, firsts: &BTreeMap<PromptKey, f64>) -> Option<Neighbour> {
         let placed = self.placed.get(&key)?;
         Some(Neighbour {
             value: placed.value,
             pause_ms: placed.pause_ms.max(1.0),
-            patience_ms: placed.patience_ms,
+            caller_timeout_ms: placed.caller_timeout_ms,
             has_begun: placed.has_begun,
             begins_in_ms: firsts.get(&key).copied().unwrap_or_default(),
-            is_spoiled: placed.is_spoiled,
+            has_late_pause: placed.has_late_pause,
             is_short: placed.is_short,
             is_suspect: placed.is_suspect,
         })
     }
 
-    /// Returns the prompts that wait for what an engine has to read, in its order.
+    /// Returns the unread parts on an engine whose prompts wait for their first event, in the order
+    /// of reading.
     fn waiting(
         &self,
         now_ms: f64,
@@ -367,8 +387,9 @@
         engine.unread_parts().filter_map(waiting_part).collect()
     }
 
-    /// Takes over a prompt that another home placed, so that its engines are known to be busy. One
-    /// that was placed elsewhere here was answered too late, and went where the other one said.
+    /// Records a prompt that another home placed, so that its engines count as busy. If this home
+    /// placed the prompt on a different main engine, its answer came too late and the other home's
+    /// placement applies.
     pub fn adopt(&mut self, now: MonotonicTime, ask: &PromptAsk, plan: &PromptPlan, begun: bool) {
         let is_placed_so = self.farm.engines_of(ask.key).first() == Some(&plan.main);
         if is_placed_so || !self.engines.contains_key(&plan.main) {
@@ -378,10 +399,10 @@
             self.ended(now, ask.key);
         }
         self.farm.advance(time_ms(now));
-        self.book(now, ask, plan, begun);
+        self.record_plan(now, ask, plan, begun);
     }
 
-    /// Notes that a prompt's first event has come.
+    /// Records that a prompt's first event has come.
     pub fn first_event(&mut self, now: MonotonicTime, key: PromptKey) {
         let Some(placed) = self.placed.get_mut(&key) else { return };
         placed.has_begun = true;
@@ -395,7 +416,7 @@
         }
     }
 
-    /// Notes that a prompt has ended, whichever way.
+    /// Records the end of a prompt, regardless of how it ended.
     pub fn ended(&mut self, now: MonotonicTime, key: PromptKey) {
         self.farm.advance(time_ms(now));
         if let Some(main) = self.farm.engines_of(key).first()
@@ -407,28 +428,28 @@
         self.placed.remove(&key);
     }
 
-    /// Forgets the prompts of entries that are gone.
+    /// Removes the prompts of entries that are gone.
     pub fn forget_entries(&mut self, now: MonotonicTime, is_gone: impl Fn(u64) -> bool) {
         let gone: Vec<PromptKey> =
             self.placed.keys().filter(|key| is_gone(key.entry)).copied().collect();
         gone.into_iter().for_each(|key| self.ended(now, key));
     }
 
-    /// Notes that an engine failed a request; it gets no new work for a while, unless too many
-    /// are shunned already.
+    /// Records that an engine failed a request. The engine gets no new work for a while, unless too
+    /// many engines are in backoff already.
     pub fn failed(&mut self, now: MonotonicTime, endpoint: &EndpointStart) {
         let Some(service) = self.engines.get(endpoint).map(|e| e.facts.service.clone()) else {
             return;
         };
         let of_service = self.engines.values().filter(|e| e.facts.service == service);
-        let (all, shunned) = of_service.fold((0.0, 0.0), |(all, shunned), engine| {
-            (all + 1.0, shunned + f64::from(u8::from(now < engine.shunned_until)))
+        let (all, in_backoff) = of_service.fold((0.0, 0.0), |(all, in_backoff), engine| {
+            (all + 1.0, in_backoff + f64::from(u8::from(now < engine.backoff_until)))
         });
         let Some(engine) = self.engines.get_mut(endpoint) else { return };
         engine.failures += 1;
-        if shunned + 1.0 <= all * SHUN_SHARE {
-            let doublings = (engine.failures - 1).min(SHUN_DOUBLINGS);
-            engine.shunned_until = now + SHUN_FIRST * 2_u32.pow(doublings);
+        if in_backoff + 1.0 <= all * MAX_BACKOFF_SHARE {
+            let doublings = (engine.failures - 1).min(MAX_BACKOFF_DOUBLINGS);
+            engine.backoff_until = now + FAILURE_BACKOFF * 2_u32.pow(doublings);
         }
     }
 
@@ -445,7 +466,7 @@
             };
             facts.service == ask.service
                 && facts.takes_work
-                && now >= engine.shunned_until
+                && now >= engine.backoff_until
                 && facts.max_prompts_per_s.is_none_or(is_within_limit)
         };
         let all: Vec<EndpointStart> = self
@@ -454,12 +475,12 @@
             .filter(takes_work)
             .map(|engine| engine.facts.endpoint.clone())
             .collect();
-        let liked: Vec<EndpointStart> =
+        let preferred: Vec<EndpointStart> =
             all.iter().filter(|endpoint| !ask.avoid.contains(endpoint)).cloned().collect();
-        if liked.is_empty() { all } else { liked }
+        if preferred.is_empty() { all } else { preferred }
     }
 
-    fn book(&mut self, now: MonotonicTime, ask: &PromptAsk, plan: &PromptPlan, begun: bool) {
+    fn record_plan(&mut self, now: MonotonicTime, ask: &PromptAsk, plan: &PromptPlan, begun: bool) {
         let Some(main) = self.engines.get_mut(&plan.main) else { return };
         let cost = ReadCost::new(&main.facts.profile, ask.prompt_tokens);
         main.mains.push(ask.key);
@@ -478,29 +499,29 @@
             .cloned()
             .collect();
         if begun {
-            // Its parts have been read: to read them once more here would end passes that others'
-            // parts are read in, and these would count as read.
+            // All parts have been read. Simulating their reading again would end passes in which
+            // parts of other prompts are read, and those parts would count as read too early.
             self.farm.take_written(time_ms(now), &plan.main, &plan.helpers, &prompt);
         } else {
-            self.spoil(cost.part_ms(parts), &engines);
+            self.mark_late_pauses(cost.part_ms(parts), &engines);
             self.farm.take(time_ms(now), &plan.main, &plan.helpers, &prompt);
         }
         let placed = PlacedPrompt {
             value: cost.value(),
             pause_ms: millis(ask.pause),
-            patience_ms: patience_ms(ask),
+            caller_timeout_ms: caller_timeout_ms(ask),
             due_ms: time_ms(now) + millis(ask.objective),
             has_begun: begun,
-            is_spoiled: false,
+            has_late_pause: false,
             is_short: cost.is_short(),
             is_suspect: ask.is_suspect,
         };
         self.placed.insert(ask.key, placed);
     }
 
-    /// Marks the answers whose next pause is longer than they bear, so that the next prompt
-    /// may use what is lost already.
-    fn spoil(&mut self, part_ms: f64, engines: &[EndpointStart]) {
+    /// Marks the answers whose next pause will be too long, so that the next prompt may use engines
+    /// whose answers are late anyway.
+    fn mark_late_pauses(&mut self, part_ms: f64, engines: &[EndpointStart]) {
         for endpoint in engines {
             let (Some(entry), Some(engine)) =
                 (self.engines.get(endpoint), self.farm.engine(endpoint))
@@ -510,15 +531,15 @@
             let pass_ms = engine.writing_pass_ms() + engine.unread_ms() + part_ms;
             for key in &entry.mains {
                 if let Some(placed) = self.placed.get_mut(key).filter(|placed| placed.has_begun) {
-                    placed.is_spoiled |= pass_ms > placed.pause_ms * SPOILED_FROM;
+                    placed.has_late_pause |= pass_ms > placed.pause_ms * SURELY_LATE_PAUSE_RATIO;
                 }
             }
         }
     }
 }
 
-/// Number of idle engines to keep for long prompts: three at a time, each read by at most sixteen
-/// engines.
+/// Number of idle engines to keep for long prompts: enough for three at a time, each read by at
+/// most sixteen engines.
 const IDLE_RESERVE: f64 = 48.0;
 
 /// Returns the weight for gathering answers on few engines: 1 with up to `IDLE_RESERVE` idle
@@ -557,9 +578,11 @@
     hasher.finish()
 }
 
-/// Returns the engines with the fewest suspects, and of these the ones with the fewest prompts. A prompt
-/// under which engines have ended is tried there, so that the next end costs others as few streams as can
-/// be, and tells who is its cause: of a dozen prompts that lose one engine each goes to another one.
+/// Returns the engines with the fewest suspects, and among them those with the fewest prompts.
+///
+/// A suspect is a prompt that engines were serving when they ended. On the returned engines, a
+/// further end interrupts as few other streams as possible. It also identifies the cause: when a
+/// dozen prompts lose one engine together, each of them is placed on a different engine.
 fn least_disturbing(views: &[(EndpointStart, EngineView)]) -> Vec<(EndpointStart, EngineView)> {
     let disturbs = |view: &EngineView| {
         let suspects = view.neighbours.iter().filter(|neighbour| neighbour.is_suspect).count();
@@ -569,7 +592,7 @@
     views.iter().filter(|(_, view)| Some(disturbs(view)) == least).cloned().collect()
 }
 
-/// Writes a placement down as the entry gets it.
+/// Builds the plan that the entry receives.
 fn plan(
     job: &Job<'_>,
     views: &[(EndpointStart, EngineView)],
@@ -589,18 +612,18 @@
     };
     PromptPlan {
         main: best.main.clone(),
-        helpers: best.others.iter().map(helper).collect(),
+        helpers: best.helpers.iter().map(helper).collect(),
         engine_priority: engine_priority(job.ask),
         first_event: Duration::from_secs_f64(best.first_ms.max(0.0) / 1_000.0),
         whole: Duration::from_secs_f64((best.first_ms + passes * main_pass_ms) / 1_000.0),
     }
 }
 
-/// A pause this many times as long as it may be is sure to be late, whatever the prediction's
-/// error.
-const SPOILED_FROM: f64 = 1.2;
+/// Ratio of a predicted pause to the longest one on time from which the pause is late despite the
+/// prediction error.
+const SURELY_LATE_PAUSE_RATIO: f64 = 1.2;
 
-/// Maps the objective to the engines' ranks: what is due soon is admitted first.
+/// Maps the objective to the engines' priorities: prompts that are due soon are admitted first.
 fn engine_priority(ask: &PromptAsk) -> u8 {
     match ask.objective.as_millis() {
         0..=500 => 2,
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,15 +1,20 @@
-//! Places prompts on engines by predicting what each engine will do.
+//! Places prompts on engines by predicting the behaviour of each engine.
 //!
-//! An engine's behaviour is published (`EngineProfile`): how long a step takes, how fast prompts
-//! are read, how reading and writing share a pass. [`EnginePasses`] is that behaviour in logical
-//! time, [`EngineFarm`] several engines with prompts read in parts. [`EngineFleet`] keeps such a
-//! farm in step with the real engines and predicts from it when a prompt's first event would come
-//! and which answers under way would pause for too long. A prompt goes where the expected loss
-//! over all requests touched is least; a long one is read in parts by several engines at once.
+//! The behaviour of an engine is published as an `EngineProfile`: the duration of a step, the rate
+//! of reading prompts, and how reading and writing share a pass. [`EnginePasses`] simulates one
+//! engine in logical time, [`EngineFarm`] several engines that read prompts in parts.
+//! [`EngineFleet`] keeps a farm in step with the real engines. It predicts when a prompt's first
+//! event would come and which answers in progress would pause for too long. A prompt is placed
+//! where the expected loss over all affected requests is least. A long prompt is read in parts by a
+//! group of engines: the main engine, which receives the request and writes the answer, and
+//! helpers, which each read a part.
 //!
-//! The predictions are corrected by what the entries see: first events, ends, failures.
+//! The predictions are corrected by the observations of the entries, the instances that receive the
+//! callers' requests: first events, ends and failures. The home, the daemon that places prompts for
+//! all engines, holds the fleet. While it does not answer in time, deputies place prompts, each on
+//! a cell of the engines.
 //!
-//! Sans-IO: every call takes the present time, nothing here waits.
+//! The crate does no I/O: every call takes the present time, and no call blocks.
 
 mod choice;
 mod cost;
@@ -25,5 +30,5 @@
 pub use farm::{EngineFarm, FarmEvent};
 pub use fleet::{EngineFacts, EngineFleet};
 pub use passes::{AnswerEnd, EnginePasses, PassEvent, PassPrompt};
-pub use plan::{HelperPart, LackReason, PlacementRefusal, PromptAsk, PromptKey, PromptPlan};
+pub use plan::{HelperPart, PlacementRefusal, PromptAsk, PromptKey, PromptPlan, RefusalReason};
 pub use scope::{EngineCell, EngineScope};
--- a/crates/placement/src/passes.rs
+++ b/crates/placement/src/passes.rs
@@ -1,12 +1,12 @@
-//! An engine that works in passes, by its published profile, in logical time.
+//! Simulates an engine that works in passes, from its published profile, in logical time.
 //!
-//! All that waits is processed in passes. During a pass, answers that are being written advance
-//! by a fixed number of steps, and prompts are read in pieces beside those steps; without
-//! answers a pass has one step. A prompt that several engines read is read in even parts, each
-//! with its share of the whole prompt's pairs, and its first event follows the last part.
+//! During a pass, answers in progress advance by a fixed number of steps, and prompts are read in
+//! pieces between those steps. Without answers, a pass has one step. A prompt that several engines
+//! read is divided into equal parts, each with its share of the whole prompt's token pairs. Its
+//! first event follows the last part.
 //!
-//! The home predicts with this model, and the experiment plays days on it. How it was checked
-//! stands in `docs/measurements/engine-model.md`.
+//! The home predicts with this model, and the experiment simulates whole days on it. Its validation
+//! is described in `docs/measurements/engine-model.md`.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -15,25 +15,25 @@
 
 use crate::plan::PromptKey;
 
-/// A prompt, or a part of one, to be read.
+/// A prompt, or a part of a prompt, to be read.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PassPrompt {
     /// The prompt.
     pub key: PromptKey,
     /// Tokens of the whole prompt.
     pub prompt_tokens: u64,
-    /// Engines that read it, this one included.
+    /// Number of engines that read the prompt, this one included.
     pub parts: u32,
     /// Tokens of the answer.
     pub answer_tokens: u64,
-    /// Its rank in the queue; 0 is first.
+    /// Priority in the queue; 0 is first.
     pub priority: u8,
-    /// Tokens of the prompt that are kept at helpers, in memory reserved there.
+    /// Tokens of the prompt whose memory is reserved at helpers.
     pub tokens_at_helpers: u64,
 }
 
 impl PassPrompt {
-    /// Returns the tokens of memory that it needs where its answer is written.
+    /// Returns the memory that the prompt needs on its main engine, in tokens.
     fn memory_tokens(&self) -> u64 {
         self.prompt_tokens.saturating_sub(self.tokens_at_helpers) + self.answer_tokens
     }
@@ -53,28 +53,28 @@
     left_tokens: f64,
 }
 
-/// What an engine has to say at the end of a pass.
+/// An event at the end of a pass.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PassEvent {
-    /// A part has been read.
+    /// A part of a prompt has been read.
     PartRead(PromptKey),
     /// An event of an answer.
     Event(PromptKey),
-    /// The last event of an answer, which was told just before.
+    /// The answer has ended. The event before it was the last one of the answer.
     Ended(PromptKey),
 }
 
-/// How an answer comes to its end.
+/// What ends an answer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum AnswerEnd {
-    /// When it has its tokens, as at a real engine.
+    /// The number of its tokens, as on a real engine.
     ByCount,
-    /// When it is cancelled: its length was only guessed, and its real end will be told.
+    /// Its cancellation: the length is only an estimate, and the real end is reported from outside.
     #[default]
-    ByWord,
+    ByCancel,
 }
 
-/// An engine.
+/// An engine in logical time.
 #[derive(Debug)]
 pub struct EnginePasses {
     profile: Arc<EngineProfile>,
@@ -82,23 +82,24 @@
     queue: VecDeque<PassPrompt>,
     reading: Vec<PassReading>,
     answers: Vec<PassAnswer>,
-    /// Memory reserved for prompts that are written elsewhere.
+    /// Memory reserved for prompts that other engines write, in tokens.
     reserved: Vec<(PromptKey, u64)>,
-    pass_ends: Option<f64>,
-    /// When the last long pass ends or ended, and how long it took.
+    pass_end_ms: Option<f64>,
+    /// End and duration of the last long pass, in milliseconds. The end may be in the future.
     long_pass: (f64, f64),
-    at_end: Vec<PassEvent>,
+    end_events: Vec<PassEvent>,
 }
 
-/// A pass from this length on is remembered, in milliseconds: it may explain a silence.
-const LONG_PASS_MS: f64 = 300.0;
+/// Duration from which a pass is recorded as long, because it may explain a silence.
+const MIN_LONG_PASS_MS: f64 = 300.0;
 
-/// How much later than predicted a long pass may end, in milliseconds and as a part of it.
+/// Tolerance for the end of a long pass: a fixed time plus a share of its duration.
 const LONG_PASS_SLACK_MS: f64 = 300.0;
-const LONG_PASS_SLACK: f64 = 0.3;
+const LONG_PASS_SLACK_RATIO: f64 = 0.3;
 
-/// Prompts that wait at an engine beside those that run; more are turned away.
-const QUEUE_LIMIT: usize = 32;
+/// Maximum number of prompts that wait on an engine besides the running ones. Further prompts are
+/// rejected.
+const MAX_QUEUED_PROMPTS: usize = 32;
 
 impl PassReading {
     fn whole_ms(&self) -> f64 {
@@ -116,36 +117,37 @@
             reading: Vec::new(),
             answers: Vec::new(),
             reserved: Vec::new(),
-            pass_ends: None,
+            pass_end_ms: None,
             long_pass: (f64::MIN, 0.0),
-            at_end: Vec::new(),
+            end_events: Vec::new(),
         }
     }
 
-    /// Returns when the present pass ends, in milliseconds; none while the engine is idle.
+    /// Returns the end of the present pass, in milliseconds, or `None` while the engine is idle.
     pub fn next_end(&self) -> Option<f64> {
-        self.pass_ends
+        self.pass_end_ms
     }
 
-    /// Returns how many prompts run or wait here, parts of others not counted.
+    /// Returns the number of prompts that run or wait on this engine, without parts read as a
+    /// helper.
     pub fn load(&self) -> usize {
         self.answers.len() + self.queue.len()
     }
 
-    /// Returns what is left of the present pass, in milliseconds.
+    /// Returns the remaining time of the present pass, in milliseconds.
     pub fn residual_ms(&self, now_ms: f64) -> f64 {
-        self.pass_ends.map_or(0.0, |end| (end - now_ms).max(0.0))
+        self.pass_end_ms.map_or(0.0, |end| (end - now_ms).max(0.0))
     }
 
-    /// Returns how long the reading takes that no pass has begun with yet, in milliseconds.
+    /// Returns the time to read everything that is not in the present pass, in milliseconds.
     pub fn unread_ms(&self) -> f64 {
         let begun: f64 = self.reading.iter().map(|r| r.left_tokens * r.ms_per_token).sum();
         let waiting: f64 = self.queue.iter().map(|prompt| self.part(prompt).whole_ms()).sum();
         begun + waiting
     }
 
-    /// Returns the prompts of which something is to be read here, and when that has been read, in
-    /// milliseconds of reading from now.
+    /// Returns the prompts with an unread part on this engine, each with the time of reading until
+    /// the part has been read, in milliseconds.
     pub fn unread_parts(&self) -> impl Iterator<Item = (PromptKey, f64)> {
         let waiting = self.queue.iter().map(|prompt| self.part(prompt));
         let parts = self.reading.iter().cloned().chain(waiting);
@@ -155,8 +157,8 @@
         })
     }
 
-    /// Returns how long a pass takes in which nothing is read, once what is being read now
-    /// writes as well; 0 where nothing would be written.
+    /// Returns the duration of a pass without reading, once the prompts that are being read now
+    /// write as well, in milliseconds. Returns 0 if there is nothing to write.
     pub fn writing_pass_ms(&self) -> f64 {
         if self.answers.is_empty() {
             return 0.0;
@@ -164,14 +166,14 @@
         self.step_ms(self.answers.iter()) * f64::from(self.profile.steps_per_pass)
     }
 
-    /// Returns whether an engine that has been silent for `silent_ms` may well be in a long pass.
+    /// Returns whether a long pass may explain that the engine has been silent for `silent_ms`.
     pub fn explains_silence(&self, now_ms: f64, silent_ms: f64) -> bool {
         let (end, length) = self.long_pass;
-        let slack = LONG_PASS_SLACK_MS + length * LONG_PASS_SLACK;
+        let slack = LONG_PASS_SLACK_MS + length * LONG_PASS_SLACK_RATIO;
         now_ms <= end + slack && silent_ms <= length + (now_ms - end).max(0.0) + slack
     }
 
-    /// Returns the tokens of memory that are spoken for.
+    /// Returns the memory in use or reserved, in tokens. Waiting prompts are included.
     pub fn held_tokens(&self) -> u64 {
         let waiting: u64 = self.queue.iter().map(PassPrompt::memory_tokens).sum();
         self.running_tokens() + waiting
@@ -182,9 +184,9 @@
         running + self.reserved.iter().map(|(_, tokens)| tokens).sum::<u64>()
     }
 
-    /// Returns when the next answer is expected to make room, in milliseconds from now; 0 where
-    /// there is room.
-    pub fn room_in_ms(&self) -> f64 {
+    /// Returns the expected time until an answer frees a slot, in milliseconds; 0 if a slot is
+    /// free.
+    pub fn slot_free_in_ms(&self) -> f64 {
         let slots = self.profile.slots as usize;
         let load = self.load();
         if load < slots {
@@ -198,26 +200,29 @@
         passes.get(at).copied().unwrap_or(0.0) * self.writing_pass_ms()
     }
 
-    /// Notes that a prompt's first event has come: the present pass has just ended.
+    /// Records that a prompt's first event has come, which means that the present pass has just
+    /// ended.
     pub fn resync(&mut self, now_ms: f64, key: PromptKey) {
         if let Some(answer) = self.answers.iter_mut().find(|a| a.prompt.key == key) {
             answer.is_writing = true;
         }
         self.drop_part(key);
-        if self.pass_ends.is_some() {
-            self.pass_ends = Some(now_ms);
+        if self.pass_end_ms.is_some() {
+            self.pass_end_ms = Some(now_ms);
         }
         self.wake(now_ms);
     }
 
-    /// Notes that a part has been read.
+    /// Records that a part has been read.
     pub fn drop_part(&mut self, key: PromptKey) {
         self.reading.retain(|read| read.key != key);
     }
 
-    /// Takes a prompt in as the engine that writes its answer; returns whether there was room.
+    /// Adds a prompt to the queue of its main engine. Returns whether there was room.
     pub fn take(&mut self, now_ms: f64, prompt: PassPrompt) -> bool {
-        if self.queue.len() >= QUEUE_LIMIT || prompt.memory_tokens() > self.profile.memory_tokens {
+        if self.queue.len() >= MAX_QUEUED_PROMPTS
+            || prompt.memory_tokens() > self.profile.memory_tokens
+        {
             return false;
         }
         let at = self.queue.iter().position(|waiting| waiting.priority > prompt.priority);
@@ -226,28 +231,28 @@
         true
     }
 
-    /// Takes a prompt in whose parts have all been read and whose answer is being written.
+    /// Adds a prompt whose parts have all been read and whose answer is being written.
     pub fn take_written(&mut self, now_ms: f64, prompt: PassPrompt) {
         let left_tokens = prompt.answer_tokens as f64;
         self.answers.push(PassAnswer { left_tokens, is_writing: true, prompt });
         self.wake(now_ms);
     }
 
-    /// Keeps some of the memory of a prompt that is written elsewhere.
-    pub fn keep(&mut self, key: PromptKey, reserve_tokens: u64) {
+    /// Reserves memory for a prompt that another engine writes.
+    pub fn reserve(&mut self, key: PromptKey, reserve_tokens: u64) {
         if reserve_tokens > 0 {
             self.reserved.push((key, reserve_tokens));
         }
     }
 
-    /// Takes a part of a prompt in as a helper.
-    pub fn help(&mut self, now_ms: f64, prompt: &PassPrompt) {
-        // An engine reads a part ahead of all other reading, earlier parts included.
+    /// Adds a part of a prompt that this engine reads as a helper.
+    pub fn read_part(&mut self, now_ms: f64, prompt: &PassPrompt) {
+        // An engine reads a helper's part before everything else, earlier parts included.
         self.reading.insert(0, self.part(prompt));
         self.wake(now_ms);
     }
 
-    /// Lets an answer be written: the last of its parts has been read.
+    /// Starts writing an answer after the last part of its prompt has been read.
     pub fn all_read(&mut self, now_ms: f64, key: PromptKey) {
         if let Some(answer) = self.answers.iter_mut().find(|a| a.prompt.key == key) {
             answer.is_writing = true;
@@ -255,7 +260,7 @@
         self.wake(now_ms);
     }
 
-    /// Drops a prompt whose caller has left.
+    /// Removes a prompt whose caller has left.
     pub fn cancel(&mut self, key: PromptKey) {
         self.queue.retain(|prompt| prompt.key != key);
         self.reading.retain(|read| read.key != key);
@@ -263,12 +268,12 @@
         self.reserved.retain(|(owner, _)| *owner != key);
     }
 
-    /// Ends the present pass and returns what it brought.
+    /// Ends the present pass and returns its events.
     pub fn end_pass(&mut self) -> Vec<PassEvent> {
-        self.pass_ends = None;
-        let events = std::mem::take(&mut self.at_end);
+        self.pass_end_ms = None;
+        let events = std::mem::take(&mut self.end_events);
         let present = |key: &PromptKey| self.answers.iter().any(|a| a.prompt.key == *key);
-        // An answer that was dropped meanwhile has nothing more to say.
+        // An answer that was removed during the pass has no further events.
         let is_due = |event: &PassEvent| match event {
             PassEvent::Event(key) | PassEvent::Ended(key) => present(key),
             PassEvent::PartRead(_) => true,
@@ -280,10 +285,10 @@
         events
     }
 
-    /// Starts a pass if none is under way and there is work. To be called after the events of
-    /// the last one have been dealt with.
+    /// Starts a pass if none is in progress and there is work. Must be called after the events of
+    /// the last pass have been handled.
     pub fn wake(&mut self, now_ms: f64) {
-        if self.pass_ends.is_none() {
+        if self.pass_end_ms.is_none() {
             self.admit();
             self.start_pass(now_ms);
         }
@@ -328,14 +333,14 @@
         for answer in self.answers.iter_mut().filter(|answer| answer.is_writing) {
             let had_left = answer.left_tokens > 0.0;
             answer.left_tokens -= f64::from(steps);
-            self.at_end.push(PassEvent::Event(answer.prompt.key));
+            self.end_events.push(PassEvent::Event(answer.prompt.key));
             if had_left && answer.left_tokens <= 0.0 {
-                self.at_end.push(PassEvent::Ended(answer.prompt.key));
+                self.end_events.push(PassEvent::Ended(answer.prompt.key));
             }
         }
         let pass_ms = step * f64::from(steps) + read_ms;
-        self.pass_ends = Some(now_ms + pass_ms);
-        if pass_ms >= LONG_PASS_MS {
+        self.pass_end_ms = Some(now_ms + pass_ms);
+        if pass_ms >= MIN_LONG_PASS_MS {
             self.long_pass = (now_ms + pass_ms, pass_ms);
         }
     }
@@ -351,7 +356,7 @@
         step + if joint { self.profile.group_step_ms } else { 0.0 }
     }
 
-    /// Reads up to a number of tokens; returns how long that takes.
+    /// Reads up to `tokens` tokens and returns the time that this takes, in milliseconds.
     fn read(&mut self, mut tokens: f64) -> f64 {
         let mut took_ms = 0.0;
         for read in &mut self.reading {
@@ -360,7 +365,7 @@
             tokens -= now;
             took_ms += now * read.ms_per_token;
             if read.left_tokens <= 0.0 {
-                self.at_end.push(PassEvent::PartRead(read.key));
+                self.end_events.push(PassEvent::PartRead(read.key));
             }
         }
         self.reading.retain(|read| read.left_tokens > 0.0);
--- a/crates/placement/src/plan.rs
+++ b/crates/placement/src/plan.rs
@@ -1,45 +1,47 @@
-//! What is asked and what is answered.
+//! Defines the request for a placement and its results.
 
 use std::time::Duration;
 
 use oriolepass_units::{EndpointStart, ServiceName};
 use serde::{Deserialize, Serialize};
 
-/// Names a placed prompt: the instance that serves its caller and a number of that instance's.
+/// Identifies a placed prompt by its entry, the instance that serves its caller, and a number that
+/// the entry assigns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PromptKey {
-    /// Drawn by the entry at its start.
+    /// Random number that the entry draws at its start.
     pub entry: u64,
-    /// Counted by the entry.
+    /// Sequence number of the prompt at its entry.
     pub number: u64,
 }
 
 /// A prompt that needs engines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PromptAsk {
-    /// Its name.
+    /// Identifies the prompt.
     pub key: PromptKey,
     /// The service whose engines may serve it.
     pub service: ServiceName,
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of the answer, as expected.
+    /// Expected tokens of the answer.
     pub answer_tokens: u64,
-    /// The most tokens of the answer, which its memory may grow by.
+    /// Maximum tokens of the answer, by which the prompt's memory may grow.
     pub max_answer_tokens: u64,
-    /// What is left until the first event is late.
+    /// Time until the first event is late.
     pub objective: Duration,
-    /// The same when the request came.
+    /// Value of `objective` when the request arrived.
     pub whole_objective: Duration,
-    /// The longest pause between two events that is on time.
+    /// Longest pause between two events that is on time.
     pub pause: Duration,
-    /// What is left until the caller gives up.
+    /// Time until the caller gives up.
     pub deadline: Duration,
-    /// How long it may still wait for engines; none the last time that it asks.
+    /// Time that the prompt may still wait for engines; zero in the last attempt.
     pub patience: Duration,
-    /// Engines that it should not go to, such as the one that just failed it.
+    /// Engines to avoid, such as the one that just failed the prompt.
     pub avoid: Vec<EndpointStart>,
-    /// Whether engines have ended under it: it goes where the fewest others run.
+    /// Whether engines have ended while they served the prompt. Such a suspect is placed where the
+    /// fewest other prompts run.
     pub is_suspect: bool,
 }
 
@@ -48,49 +50,51 @@
 pub struct HelperPart {
     /// The engine.
     pub endpoint: EndpointStart,
-    /// Memory to reserve there for the prompt, in tokens; none where it is kept elsewhere.
+    /// Memory to reserve on the helper for the prompt, in tokens; `None` if it needs none there.
     pub reserve_tokens: Option<u64>,
 }
 
-/// Where a prompt goes.
+/// The placement of a prompt.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PromptPlan {
     /// The engine that receives the request and writes the answer.
     pub main: EndpointStart,
-    /// The engines that read parts of the prompt beside it.
+    /// The engines that read parts of the prompt besides the main engine.
     pub helpers: Vec<HelperPart>,
-    /// How urgent the engine should take it; 0 is first, 9 is last.
+    /// Priority of the prompt at its engines; 0 is first, 9 is last.
     pub engine_priority: u8,
-    /// When the first event is expected.
+    /// Expected time until the first event.
     pub first_event: Duration,
-    /// How long the whole answer is expected to take.
+    /// Expected time until the end of the answer.
     pub whole: Duration,
 }
 
-/// The reason that a prompt is not placed.
+/// The reason why a prompt is not placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum LackReason {
-    /// No engine of the service takes work.
+pub enum RefusalReason {
+    /// No engine of the service accepts work.
     NoEngine,
-    /// No group of engines has the memory for it.
+    /// No group of engines has memory for the prompt.
     NoMemory,
-    /// All engines have much to read, and it may still wait.
+    /// All engines have a long backlog of reading, and the prompt may still wait.
     Backlog,
-    /// Its first event would come after its caller has left.
+    /// The first event would come after the caller has left.
     TooLate,
-    /// Other prompts would lose more by it than it brings.
+    /// Other prompts would lose more than this prompt gains.
     TooDear,
-    /// Nearly all places are taken, and it would keep one from a prompt that is still on time.
+    /// Nearly all slots are taken, and the prompt would take one from a prompt that can still be on
+    /// time.
     Crowded,
 }
 
-impl LackReason {
-    /// Returns whether it may be otherwise within the part of an objective that a prompt waits.
+impl RefusalReason {
+    /// Returns whether the reason may cease to apply within the part of its objective that a prompt
+    /// may wait.
     pub fn is_transient(self) -> bool {
         self != Self::Crowded
     }
 
-    /// Returns the reason in words, for logs and refusals.
+    /// Returns the reason as text for logs and refusals.
     pub fn name(self) -> &'static str {
         match self {
             Self::NoEngine => "no engine takes work",
@@ -103,11 +107,11 @@
     }
 }
 
-/// A prompt is not placed.
+/// The refusal of a placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacementRefusal {
-    /// Why not.
-    pub reason: LackReason,
-    /// When it is worth asking again.
+    /// The reason for the refusal.
+    pub reason: RefusalReason,
+    /// Delay after which a retry may succeed.
     pub retry_after: Duration,
 }
--- a/crates/placement/src/scope.rs
+++ b/crates/placement/src/scope.rs
@@ -1,39 +1,43 @@
-//! Which engines a choice is made among.
+//! Limits the engines among which a prompt is placed.
 //!
-//! One home that sees all prompts chooses among all engines. Where several choose at the same time
-//! and none sees what the others do, the best engine is the same for all of them, and all send to
-//! it. So each chooses among engines of its own: a cell, which no other home places on, or where
-//! not even that much is agreed, a few drawn by chance.
+//! A home that sees all prompts chooses among all engines. If several instances choose at the same
+//! time without knowledge of each other's placements, the best engine is the same for all of them,
+//! and all of them send to it. Each of them therefore chooses among its own engines: a cell, on
+//! which no other instance places prompts, or, where no cells are agreed on, a few engines drawn at
+//! random.
 
 use std::hash::{Hash, Hasher};
 
 use oriolepass_units::EndpointStart;
 use serde::{Deserialize, Serialize};
 
-/// The engines among which a prompt alone is placed, as a part of all: few enough for entries that
-/// know nothing of each other to meet seldom, and enough for one of them to be free.
+/// Share of engines that are drawn for a short prompt that an entry places by itself. It is low
+/// enough for entries without knowledge of each other to collide rarely, and high enough for one
+/// engine to be free.
 const SHORT_DRAW_SHARE: f64 = 0.125;
 
-/// The same for a long prompt, which needs several engines that have little to read.
+/// Share of engines that are drawn for a long prompt, which needs several engines with little to
+/// read.
 const LONG_DRAW_SHARE: f64 = 0.35;
 
-/// The fewest engines that are drawn for a short prompt: the best of four is free when three are busy.
-const SHORT_DRAW_LEAST: usize = 4;
+/// Minimum number of engines that are drawn for a short prompt: if three of four engines are busy,
+/// the best of four is free.
+const MIN_SHORT_DRAW: usize = 4;
 
-/// The fewest that are drawn for a long prompt: the most that may read one.
-const LONG_DRAW_LEAST: usize = 16;
+/// Minimum number of engines that are drawn for a long prompt, equal to the maximum group size.
+const MIN_LONG_DRAW: usize = 16;
 
-/// One of several parts that all engines are divided into.
+/// One of several disjoint cells that together contain all engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineCell {
-    /// Which part, from 0.
+    /// Index of the cell, from 0.
     pub index: u32,
-    /// How many parts there are, at least 1.
+    /// Number of cells, at least 1.
     pub count: u32,
 }
 
 impl EngineCell {
-    /// Returns whether an engine is in this part.
+    /// Returns whether an engine is in this cell.
     pub fn holds(self, endpoint: &EndpointStart) -> bool {
         hash(u64::from(self.count), endpoint) % u64::from(self.count.max(1))
             == u64::from(self.index)
@@ -43,17 +47,17 @@
 /// The engines among which a prompt is placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineScope {
-    /// All of them.
+    /// All engines.
     All,
-    /// Those of one part.
+    /// The engines of one cell.
     Cell(EngineCell),
-    /// Some, drawn with this random number.
+    /// A random sample of engines, drawn with this seed.
     Drawn(u64),
 }
 
 impl EngineScope {
     /// Returns whether this scope may use an engine with a limit on prompts per second. Each placer
-    /// counts only its own prompts, so the engine must be one that no other places on concurrently.
+    /// counts only its own prompts, so no other placer may use the engine at the same time.
     pub(crate) fn allows_limited(self, endpoint: &EndpointStart) -> bool {
         match self {
             Self::All => true,
@@ -62,8 +66,8 @@
         }
     }
 
-    /// Returns the engines to choose among, the first of equally good ones in front. Where a part
-    /// has none, all are.
+    /// Returns the engines of this scope; of equally good engines, the first is chosen. Returns all
+    /// engines if the cell contains none of them.
     pub(crate) fn narrow(
         self,
         mut engines: Vec<EndpointStart>,
@@ -78,9 +82,9 @@
             }
             Self::Drawn(seed) => {
                 let (share, least) = if is_short {
-                    (SHORT_DRAW_SHARE, SHORT_DRAW_LEAST)
+                    (SHORT_DRAW_SHARE, MIN_SHORT_DRAW)
                 } else {
-                    (LONG_DRAW_SHARE, LONG_DRAW_LEAST)
+                    (LONG_DRAW_SHARE, MIN_LONG_DRAW)
                 };
                 let count = ((engines.len() as f64 * share) as usize).max(least);
                 engines.sort_by_cached_key(|engine| hash(seed, engine));
--- a/crates/placement/tests/placing.rs
+++ b/crates/placement/tests/placing.rs
@@ -1,4 +1,5 @@
-//! Prompts go where they lose least, on engines as the users' platform publishes them.
+//! Placement of short and long prompts by the least expected loss, on engines with the published
+//! profile of the users' platform.
 
 mod common;
 
@@ -7,7 +8,7 @@
 use std::time::Duration;
 
 use oriolepass_placement::{
-    AnswerEnd, EngineFarm, EngineFleet, LackReason, PassPrompt, PromptAsk, PromptKey, ReadCost,
+    AnswerEnd, EngineFarm, EngineFleet, PassPrompt, PromptAsk, PromptKey, ReadCost, RefusalReason,
 };
 use oriolepass_routing::EngineProfile;
 use oriolepass_units::{EndpointStart, MonotonicTime};
@@ -37,8 +38,9 @@
 }
 
 #[test]
-fn first_events_come_when_the_users_bench_showed_them() {
-    // A prompt of 1,828 tokens on an idle engine: 12.3 ms, of which 4 to 5 on the way.
+fn first_events_match_the_users_benchmark() {
+    // A prompt of 1,828 tokens on an idle engine takes 12.3 ms, of which 4 to 5 ms are transit
+    // time.
     let mut farm = EngineFarm::new(AnswerEnd::ByCount);
     farm.add(&endpoint(0), &profile());
     let prompt = |number, prompt_tokens, parts| PassPrompt {
@@ -53,9 +55,9 @@
     let events = farm.advance(3_000.0);
     assert!((7.0..9.5).contains(&events[0].at_ms), "{}", events[0].at_ms);
     assert_eq!(events.iter().filter(|event| event.is_last).count(), 1);
-    // Its events come 43 ms apart: a pass of 46 steps.
+    // Events are 43 ms apart, a pass of 46 steps.
     assert!((42.0..46.0).contains(&(events[2].at_ms - events[1].at_ms)));
-    // A second one waits for the end of the present pass and a pass of its own.
+    // A second prompt waits for the end of the present pass and for a pass of its own.
     farm.take(5_000.0, &endpoint(0), &[], &prompt(2, 1_828, 1));
     farm.advance(5_020.0);
     farm.take(5_020.0, &endpoint(0), &[], &prompt(3, 1_711, 1));
@@ -96,11 +98,11 @@
 }
 
 #[test]
-fn after_a_flood_of_short_prompts_their_answers_gather_on_few_engines() {
+fn after_a_surge_of_short_prompts_their_answers_gather_on_few_engines() {
     let mut fleet = fleet(14);
     let mut under_way: VecDeque<(u64, u64)> = VecDeque::new();
     let mut number = 0;
-    let mut play = |fleet: &mut EngineFleet, span: std::ops::Range<u64>, every_ms: usize| {
+    let mut simulate = |fleet: &mut EngineFleet, span: std::ops::Range<u64>, every_ms: usize| {
         let mut used = Vec::new();
         for now_ms in span.step_by(every_ms) {
             while under_way.front().is_some_and(|(_, ends)| *ends <= now_ms) {
@@ -113,52 +115,59 @@
         }
         used
     };
-    // 83 a second take most engines; 20 a second, 40 at a time, fit on three.
-    let flood = play(&mut fleet, 0..5_000, 12);
-    assert!(flood.iter().collect::<BTreeSet<_>>().len() >= 9);
-    play(&mut fleet, 5_000..7_500, 50);
-    let ebb = play(&mut fleet, 7_500..10_000, 50);
-    let used: BTreeSet<_> = ebb.iter().collect();
-    assert!(used.len() <= 3, "answers are still begun on {} engines", used.len());
+    // 83 prompts per second take most engines; 20 per second, 40 at a time, fit on three.
+    let surge = simulate(&mut fleet, 0..5_000, 12);
+    assert!(surge.iter().collect::<BTreeSet<_>>().len() >= 9);
+    simulate(&mut fleet, 5_000..7_500, 50);
+    let after_surge = simulate(&mut fleet, 7_500..10_000, 50);
+    let used: BTreeSet<_> = after_surge.iter().collect();
+    assert!(used.len() <= 3, "answers still begin on {} engines", used.len());
 }
 
 #[test]
-fn a_prompt_beyond_one_engines_memory_is_kept_by_several() {
+fn a_prompt_beyond_one_engines_memory_is_held_by_several() {
     let mut fleet = fleet(8);
     let plan = fleet.place(at(0), &ask(1, 700_000)).unwrap();
     let kept: u64 = plan.helpers.iter().filter_map(|helper| helper.reserve_tokens).sum();
-    assert!(700_000 - kept <= 450_000, "the engine that writes keeps {}", 700_000 - kept);
-    let lack = fleet.place(at(1), &ask(2, 3_000_000)).unwrap_err();
-    assert_eq!(lack.reason, LackReason::NoMemory, "no group can hold it");
+    assert!(700_000 - kept <= 450_000, "the main engine holds {} tokens", 700_000 - kept);
+    let refusal = fleet.place(at(1), &ask(2, 3_000_000)).unwrap_err();
+    assert_eq!(
+        refusal.reason,
+        RefusalReason::NoMemory,
+        "refusal of a prompt that no group can hold"
+    );
     fleet.ended(at(2), key(1));
-    assert_eq!(fleet.placed_count(), 0, "nothing is left behind");
+    assert_eq!(fleet.placed_count(), 0, "prompts left after the end of the only one");
 }
 
 #[test]
-fn while_engines_are_busy_a_giant_that_costs_more_than_it_brings_is_refused() {
+fn busy_engines_refuse_a_huge_prompt_that_costs_more_than_its_value() {
     let mut fleet = fleet(14);
-    // In calm times a giant gets a large group.
+    // With idle engines, a huge prompt gets a large group.
     let calm = fleet.place(at(0), &ask(1, 430_000)).unwrap();
     assert!(calm.helpers.len() >= 4, "{} helpers", calm.helpers.len());
     fleet.ended(at(10), key(1));
-    // Long prompts that take most of the engines' time.
+    // These long prompts take most of the engines' time.
     for number in 0..24 {
         let now = at(100 + number * 150);
         fleet.place(now, &ask(100 + number, 200_000)).unwrap();
         fleet.ended(now + Duration::from_millis(140), key(100 + number));
     }
-    let giant = fleet.place(at(4_000), &ask(2, 430_000)).unwrap_err();
-    assert_eq!(giant.reason, LackReason::TooDear);
-    assert!(giant.retry_after >= Duration::from_secs(1), "it is told when to come back");
-    assert!(fleet.place(at(4_010), &ask(3, 130_000)).is_ok(), "it brings more for its time");
-    assert!(fleet.place(at(4_020), &ask(4, 4_000)).is_ok(), "others are not affected");
+    let huge = fleet.place(at(4_000), &ask(2, 430_000)).unwrap_err();
+    assert_eq!(huge.reason, RefusalReason::TooDear);
+    assert!(huge.retry_after >= Duration::from_secs(1), "retry delay of a refusal under load");
+    assert!(
+        fleet.place(at(4_010), &ask(3, 130_000)).is_ok(),
+        "a smaller prompt has more value for its time"
+    );
+    assert!(fleet.place(at(4_020), &ask(4, 4_000)).is_ok(), "short prompts are not affected");
     assert!(fleet.place(at(12_000), &ask(2, 430_000)).is_ok(), "the surge is over");
 }
 
 #[test]
-fn in_a_surge_a_long_prompt_that_may_wait_is_not_put_behind_much_reading() {
+fn a_long_prompt_that_may_wait_is_not_placed_behind_a_reading_backlog() {
     let mut fleet = fleet(4);
-    // 1.6 s of reading for each of the engines.
+    // Each engine has 1.6 s of reading.
     for number in 0..4 {
         fleet.place(at(number), &ask(number, 150_000)).unwrap();
     }
@@ -166,23 +175,27 @@
         patience: Duration::from_millis(patience_ms),
         ..ask(number, 100_000)
     };
-    let lack = fleet.place(at(10), &asked(10, 500)).unwrap_err();
-    assert_eq!(lack.reason, LackReason::Backlog);
-    assert!(fleet.place(at(20), &ask(20, 4_000)).is_ok(), "a short one goes somewhere at once");
-    assert!(fleet.place(at(900), &asked(11, 500)).is_ok(), "its turn comes while it waits");
-    assert!(fleet.place(at(910), &asked(12, 0)).is_ok(), "the last time that it asks it is taken");
+    let refusal = fleet.place(at(10), &asked(10, 500)).unwrap_err();
+    assert_eq!(refusal.reason, RefusalReason::Backlog);
+    assert!(fleet.place(at(20), &ask(20, 4_000)).is_ok(), "a short prompt is placed at once");
+    assert!(
+        fleet.place(at(900), &asked(11, 500)).is_ok(),
+        "the backlog shrinks while the prompt waits"
+    );
+    assert!(fleet.place(at(910), &asked(12, 0)).is_ok(), "the last attempt is placed");
 }
 
 #[test]
 fn a_prompt_that_is_late_already_is_still_served_while_engines_have_time() {
     let mut fleet = fleet(14);
-    // Long prompts take a good part of the engines' time, and leave enough of it.
+    // Long prompts take a good part of the engines' time but leave enough of it.
     for number in 0..12 {
         let now = at(number * 300);
         fleet.place(now, &ask(number, 200_000)).unwrap();
         fleet.ended(now + Duration::from_millis(290), key(number));
     }
-    // Its stream broke off, or it waited for a start of all gateways: its objective is used up.
+    // The objective is used up, because the stream broke off or the prompt waited during a restart
+    // of all gateways.
     let late = |number, tokens, whole_ms| PromptAsk {
         objective: Duration::ZERO,
         whole_objective: Duration::from_millis(whole_ms),
@@ -193,42 +206,45 @@
 }
 
 #[test]
-fn a_prompt_that_engines_could_only_read_late_does_not_take_long_from_one_of_them() {
+fn a_prompt_that_would_be_late_does_not_occupy_one_engine_for_long() {
     let mut fleet = fleet(14);
     let profile = profile();
     for number in 0..40 {
         let now = at(number * 100);
         let Ok(plan) = fleet.place(now, &ask(number, 280_000)) else { continue };
         let part = ReadCost::new(&profile, 280_000).part_ms(plan.helpers.len() + 1);
-        // Read by one engine it would be late for sure, and cost as much.
+        // On one engine the prompt would certainly be late, at the same cost.
         assert!(part < 3_000.0, "prompt {number} is read by {} engines", plan.helpers.len() + 1);
     }
 }
 
 #[test]
-fn idle_engines_serve_what_can_only_be_late() {
-    // 7.5 s of reading against an objective of 3 s: late, and not too late for its caller.
+fn idle_engines_serve_a_prompt_that_will_be_late() {
+    // 7.5 s of reading against an objective of 3 s: late, but before the caller leaves.
     assert!(fleet(1).place(at(0), &ask(1, 365_000)).is_ok());
     let mut busy = fleet(1);
     busy.place(at(0), &ask(1, 60_000)).unwrap();
-    assert!(busy.place(at(10), &ask(2, 365_000)).is_err(), "others come, and it brings little");
+    assert!(
+        busy.place(at(10), &ask(2, 365_000)).is_err(),
+        "a late prompt is placed on a busy engine"
+    );
 }
 
 #[test]
-fn a_giant_does_not_silence_short_answers_until_their_callers_leave() {
+fn a_huge_prompt_does_not_pause_short_answers_until_their_callers_leave() {
     let mut fleet = fleet(2);
     for number in 0..12 {
         fleet.place(at(number * 30), &ask(number, 2_000)).unwrap();
         fleet.first_event(at(number * 30 + 20), key(number));
     }
-    // On the engine with answers, each of its passes would last over two seconds.
+    // On the engine with answers, each pass of the prompt would last over two seconds.
     let with_short = fleet.engines_of(key(0))[0].clone();
     let plan = fleet.place(at(400), &ask(100, 180_000)).unwrap();
     assert!(plan.main != with_short && plan.helpers.is_empty(), "{with_short}: {plan:?}");
 }
 
 #[test]
-fn a_failed_engine_gets_no_work_for_a_while_and_never_half_of_them() {
+fn failed_engines_get_no_work_for_a_while_but_at_most_half_of_all() {
     let mut fleet = fleet(4);
     (0..4).for_each(|number| fleet.failed(at(0), &endpoint(number)));
     let plan = fleet.place(at(1), &ask(1, 4_000)).unwrap();
@@ -245,24 +261,27 @@
     fleet.first_event(at(25), key(1));
     fleet.place(at(30), &ask(2, 300_000)).unwrap();
     let silent = Duration::from_millis(1_200);
-    assert!(fleet.explains_silence(at(1_300), &endpoint(0), silent), "it reads for 5 s");
+    assert!(
+        fleet.explains_silence(at(1_300), &endpoint(0), silent),
+        "silence during 5 s of reading"
+    );
     assert!(!fleet.explains_silence(at(60_000), &endpoint(0), silent), "long over");
 }
 
 #[test]
-fn a_silence_of_many_engines_is_no_fault_of_each() {
+fn a_simultaneous_silence_of_many_engines_is_expected() {
     let mut fleet = fleet(8);
     let silent = Duration::from_millis(1_200);
     let mut is_expected = |ms, number| fleet.explains_silence(at(ms), &endpoint(number), silent);
-    assert!(!is_expected(1_000, 0), "one of eight may well be dead");
-    assert!(!is_expected(1_010, 0), "also when it is asked again");
+    assert!(!is_expected(1_000, 0), "one of eight engines is silent");
+    assert!(!is_expected(1_010, 0), "the same engine is reported again");
     assert!(!is_expected(1_020, 1));
-    assert!(is_expected(1_030, 2), "three at a time are not");
+    assert!(is_expected(1_030, 2), "three of eight engines are silent");
     assert!(!is_expected(9_000, 3), "long over");
 }
 
 #[test]
-fn a_new_home_learns_what_runs() {
+fn a_new_home_adopts_running_prompts() {
     let mut old = fleet(4);
     let asked = ask(1, 4_000);
     let plan = old.place(at(0), &asked).unwrap();
@@ -270,11 +289,11 @@
     new.adopt(at(50), &asked, &plan, true);
     assert_eq!(new.engines_of(key(1)), old.engines_of(key(1)));
     new.forget_entries(at(60), |entry| entry == 1);
-    assert_eq!(new.placed_count(), 0, "its entry has died");
+    assert_eq!(new.placed_count(), 0, "prompts left after the end of their entry");
 }
 
 #[test]
-fn a_new_home_does_not_take_for_read_what_answers_under_way_wait_beside() {
+fn a_new_home_does_not_count_unread_parts_beside_adopted_answers_as_read() {
     let mut old = fleet(1);
     let answers: Vec<_> = (0..6).map(|number| ask(number, 4_000)).collect();
     let mut placed: Vec<_> =
@@ -291,19 +310,20 @@
 }
 
 #[test]
-fn a_prompt_that_is_asked_for_again_is_placed_once() {
+fn a_prompt_that_is_requested_again_is_placed_once() {
     let mut fleet = fleet(4);
     let first = fleet.place(at(0), &ask(1, 200_000)).unwrap();
     let second = fleet.place(at(5), &ask(1, 200_000)).unwrap();
     assert_eq!(fleet.placed_count(), 1);
-    assert!(second.first_event < first.first_event * 2, "it does not wait behind itself");
+    assert!(second.first_event < first.first_event * 2, "the repeated prompt waits behind itself");
     fleet.ended(at(10), key(1));
     assert_eq!(fleet.placed_count(), 0);
 }
 
-/// Plays a surge of short prompts on ten engines of sixteen places: returns how many were on time,
-/// late, and refused, of those that came after its first two seconds.
-fn play_short_surge(per_s: u64) -> (u32, u32, u32) {
+/// Simulates a surge of short prompts on ten engines with sixteen slots. Returns the numbers of
+/// prompts that were on time, late and refused, among those that arrived after the first two
+/// seconds.
+fn simulate_short_surge(per_s: u64) -> (u32, u32, u32) {
     let mut fleet = fleet(10);
     let mut farm = EngineFarm::new(AnswerEnd::ByCount);
     (0..10).for_each(|number| farm.add(&endpoint(number), &profile()));
@@ -350,26 +370,26 @@
 }
 
 #[test]
-fn a_surge_of_short_prompts_beyond_the_places_leaves_most_of_them_on_time() {
-    // Some 84 a second fit on 160 places at 1.9 s each.
-    let (on_time, late, refused) = play_short_surge(70);
-    assert_eq!((late, refused), (0, 0), "{on_time} on time: nobody is refused below capacity");
-    let (on_time, late, refused) = play_short_surge(100);
+fn a_surge_of_short_prompts_beyond_the_slots_leaves_most_of_them_on_time() {
+    // Some 84 prompts per second fit on 160 slots at 1.9 s each.
+    let (on_time, late, refused) = simulate_short_surge(70);
+    assert_eq!((late, refused), (0, 0), "{on_time} on time: late or refused below capacity");
+    let (on_time, late, refused) = simulate_short_surge(100);
     let all = on_time + late + refused;
     assert!(on_time * 10 >= all * 6, "{on_time} on time, {late} late, {refused} refused");
     assert!(refused * 3 <= all, "{on_time} on time, {late} late, {refused} refused");
 }
 
 #[test]
-fn a_home_that_answered_too_late_learns_where_the_prompt_went_instead() {
+fn a_home_that_answered_too_late_adopts_the_placement_of_a_deputy() {
     let mut slow_home = fleet(8);
     let prompt = ask(1, 4_000);
     let answered_late = slow_home.place(at(0), &prompt).unwrap();
     let mut deputy = fleet(8);
     deputy.failed(at(0), &answered_late.main);
-    let went = deputy.place(at(100), &prompt).unwrap();
-    assert_ne!(went.main, answered_late.main);
-    slow_home.adopt(at(110), &prompt, &went, false);
-    assert_eq!(slow_home.engines_of(key(1)), [went.main]);
-    assert_eq!(slow_home.placed_count(), 1, "not on both");
+    let by_deputy = deputy.place(at(100), &prompt).unwrap();
+    assert_ne!(by_deputy.main, answered_late.main);
+    slow_home.adopt(at(110), &prompt, &by_deputy, false);
+    assert_eq!(slow_home.engines_of(key(1)), [by_deputy.main]);
+    assert_eq!(slow_home.placed_count(), 1, "the prompt is placed twice");
 }
