--- a/crates/placement/tests/cold_engines.rs
+++ b/crates/placement/tests/cold_engines.rs
@@ -15,10 +15,10 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// Requests a second that a cold engine can take, from all instances together.
+/// Requests per second that a cold engine can take from all instances together.
 const MAX_REQUESTS_PER_S: u32 = 26;
 
-/// Prompts a second that one placer may send to a cold engine.
+/// Prompts per second that one placer may send to a cold engine.
 const MAX_PROMPTS_PER_S: u32 = MAX_REQUESTS_PER_S / 3;
 
 const ENGINES: usize = 9;
@@ -85,7 +85,7 @@
             (&mut next_home, EngineScope::All)
         };
         let Ok(plan) = fleet.place_among(at(ms), &ask(number), scope) else { continue };
-        // Most prompts end at once, so that slots don't limit the placements.
+        // Most prompts end at once, so that slots do not limit the placements.
         if rng.random_bool(0.9) {
             fleet.ended(at(ms), ask(number).key);
         }
--- a/crates/placement/tests/common/mod.rs
+++ b/crates/placement/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Engines as the users' platform publishes them, and prompts for them.
+//! Builds engines with the profile that the users' platform publishes, and prompts for them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use oriolepass_routing::EngineProfile;
 use oriolepass_units::EndpointStart;
 
-/// An engine with so many places that runs so many steps in a pass.
+/// Returns the profile of an engine with the given numbers of slots and of steps per pass.
 pub fn profile(slots: u32, steps_per_pass: u32) -> Arc<EngineProfile> {
     Arc::new(EngineProfile {
         slots,
@@ -28,7 +28,7 @@
     format!("e{number}").parse().unwrap()
 }
 
-/// Engines of one service that all take work.
+/// Returns a fleet whose engines belong to one service and accept work.
 pub fn fleet(engines: usize, profile: &Arc<EngineProfile>) -> EngineFleet {
     let facts = |number| EngineFacts {
         endpoint: endpoint(number),
@@ -42,7 +42,8 @@
     fleet
 }
 
-/// A prompt that has just come and does not wait for engines, with the longest pause between its events.
+/// Returns a prompt that has just arrived and does not wait for engines. `pause_ms` is the longest
+/// pause between its events that is on time.
 pub fn prompt(key: PromptKey, prompt_tokens: u64, objective_ms: u64, pause_ms: u64) -> PromptAsk {
     let objective = Duration::from_millis(objective_ms);
     PromptAsk {
--- a/crates/placement/tests/long_surges.rs
+++ b/crates/placement/tests/long_surges.rs
@@ -1,8 +1,9 @@
-//! Surges of long prompts that many engines read in parts.
+//! Placement during surges of long prompts that many engines read in parts.
 //!
-//! The pattern: prompts of 45,000 to 500,000 tokens come faster than each is read, so the parts of several
-//! lie on the same engines. An engine reads the part that came last first, so each later prompt delays the
-//! earlier ones wherever they share an engine, and each part makes a pause for whatever is written there.
+//! Guards against long prompts that delay each other and the answers in progress. Prompts of 45,000
+//! to 500,000 tokens arrive faster than each is read, so engines have parts of several prompts to
+//! read. An engine reads the latest part first, so each later prompt delays the earlier ones on the
+//! engines that they share, and each part pauses the answers that are written there.
 
 mod common;
 
@@ -14,14 +15,15 @@
 };
 use oriolepass_units::MonotonicTime;
 
-/// Engines of the deployment that this load is taken from.
+/// Number of engines of the deployment with this load.
 const ENGINES: usize = 45;
 
-/// The most engines that read one prompt.
-const MOST_PARTS: usize = 16;
+/// Maximum number of engines that read one prompt.
+const MAX_PARTS: usize = 16;
 
-/// Engines that may write, so that two prompts find the most engines where nothing is written.
-const LEFT_OVER: usize = ENGINES - 2 * MOST_PARTS;
+/// Number of engines that may write such that two prompts still find the maximum number of engines
+/// without answers.
+const MAX_WRITERS: usize = ENGINES - 2 * MAX_PARTS;
 
 fn fleet() -> EngineFleet {
     common::fleet(ENGINES, &common::profile(12, 52))
@@ -35,7 +37,7 @@
     PromptKey { entry: 1, number }
 }
 
-/// A prompt of middle size, 500 ms between events, or a long one, 800 ms.
+/// Returns a medium prompt, with pauses up to 500 ms, or a long one, with pauses up to 800 ms.
 fn ask(number: u64, prompt_tokens: u64) -> PromptAsk {
     let (objective_ms, pause_ms) =
         if prompt_tokens > 100_000 { (4_000, 800) } else { (1_500, 500) };
@@ -48,11 +50,11 @@
 }
 
 #[test]
-fn an_engine_reads_the_part_that_came_last_first() {
+fn an_engine_reads_the_latest_part_first() {
     let profile = common::profile(12, 52);
     let mut farm = EngineFarm::new(AnswerEnd::ByCount);
     (0..3).for_each(|number| farm.add(&common::endpoint(number), &profile));
-    let helped = [HelperPart { endpoint: common::endpoint(0), reserve_tokens: None }];
+    let helpers = [HelperPart { endpoint: common::endpoint(0), reserve_tokens: None }];
     let prompt = |number| PassPrompt {
         key: key(number),
         prompt_tokens: 200_000,
@@ -61,16 +63,16 @@
         priority: 6,
         tokens_at_helpers: 0,
     };
-    // Both are read by the first engine beside one of their own.
-    assert!(farm.take(0.0, &common::endpoint(1), &helped, &prompt(1)));
-    assert!(farm.take(5.0, &common::endpoint(2), &helped, &prompt(2)));
+    // The first engine reads a part of both prompts; each prompt has a different main engine.
+    assert!(farm.take(0.0, &common::endpoint(1), &helpers, &prompt(1)));
+    assert!(farm.take(5.0, &common::endpoint(2), &helpers, &prompt(2)));
     let events = farm.advance(10_000.0);
     let first = |number| events.iter().find(|event| event.key == key(number)).unwrap().at_ms;
     assert!(first(2) < first(1), "{} and {}", first(2), first(1));
 }
 
 #[test]
-fn a_prompt_that_is_nearly_due_is_not_put_behind_later_parts() {
+fn later_parts_do_not_delay_a_prompt_that_is_nearly_due() {
     let mut fleet = fleet();
     let first = Duration::from_millis(1_200);
     let tight = PromptAsk { objective: first, whole_objective: first, ..ask(1, 480_000) };
@@ -81,38 +83,43 @@
         let plan = place(&mut fleet, 600, number, 300_000);
         shared += plan.helpers.iter().filter(|h| reads.contains(&h.endpoint)).count();
     }
-    assert_eq!(shared, 0, "29 other engines have nothing to read");
+    assert_eq!(shared, 0, "later parts share engines although 29 others are idle");
 }
 
 #[test]
-fn long_answers_gather_and_leave_engines_to_long_parts() {
+fn long_answers_gather_and_leave_other_engines_to_long_parts() {
     let mut fleet = fleet();
     let mut writers = BTreeSet::new();
-    // Fifteen answers of middle size at a time, as in a surge.
+    // Fifteen answers to medium prompts at a time, as in a surge.
     for number in 0..15 {
         let now_ms = number * 60;
         let plan = place(&mut fleet, now_ms, number, 45_000);
         fleet.first_event(at(now_ms + 50), key(number));
         writers.insert(plan.main);
     }
-    assert!(writers.len() <= LEFT_OVER, "they are written by {} engines", writers.len());
+    assert!(writers.len() <= MAX_WRITERS, "answers are written by {} engines", writers.len());
     let long = place(&mut fleet, 1_000, 100, 300_000);
     let disturbed = long.helpers.iter().filter(|h| writers.contains(&h.endpoint)).count();
-    assert_eq!(disturbed, 0, "no part is read beside an answer");
+    assert_eq!(disturbed, 0, "a part is read on an engine that writes");
     assert!(long.helpers.len() >= 7, "{} helpers", long.helpers.len());
 }
 
-/// Engines of which a third is idle while the others read a long prompt.
+/// Number of engines of which a third is idle while the others read a long prompt.
 const FEW_ENGINES: usize = 24;
 
 #[test]
-fn a_prompt_that_is_about_to_write_is_not_put_behind_parts_that_come_meanwhile() {
+fn later_parts_are_not_read_on_an_engine_that_is_about_to_write() {
     let mut fleet = common::fleet(FEW_ENGINES, &common::profile(12, 52));
     let first = place(&mut fleet, 0, 1, 300_000);
-    assert_eq!(first.helpers.len() + 1, MOST_PARTS, "many engines read it");
-    // Its first event is due in some 80 ms; a part of the next one takes 770 ms, nearly a whole pause.
+    assert_eq!(first.helpers.len() + 1, MAX_PARTS, "parts of the first prompt");
+    // The first event is due in some 80 ms. A part of the next prompt takes 770 ms, nearly the
+    // longest pause that is on time.
     let next = place(&mut fleet, 250, 2, 480_000);
     let disturbs = next.helpers.iter().any(|helper| helper.endpoint == first.main);
-    assert!(next.main != first.main && !disturbs, "it writes on {}", first.main);
-    assert_eq!(next.helpers.len() + 1, MOST_PARTS, "there are enough others");
+    assert!(
+        next.main != first.main && !disturbs,
+        "a part is read on {}, which is about to write",
+        first.main
+    );
+    assert_eq!(next.helpers.len() + 1, MAX_PARTS, "parts of the second prompt");
 }
--- a/crates/placement/tests/suspects.rs
+++ b/crates/placement/tests/suspects.rs
@@ -1,8 +1,9 @@
-//! Prompts under which engines have ended: where they are tried.
+//! Placement of suspects: prompts that engines were serving when they ended.
 //!
-//! The pattern: an engine with a dozen prompts ends; each of these may be the cause, and is placed anew at
-//! the same moment. The figures are those of the smaller deployments: 14 engines of 16 places, prompts of
-//! 5,000 tokens, answers of 1,600.
+//! Guards against suspects that gather on few engines, where the next end interrupts many streams
+//! and does not identify its cause. When an engine with a dozen prompts ends, each of them may be
+//! the cause, and all are placed again at the same moment. The sizes are those of the smaller
+//! deployments: 14 engines with 16 slots, prompts of 5,000 tokens, answers of 1,600.
 
 mod common;
 
@@ -14,8 +15,8 @@
 
 const ENGINES: usize = 14;
 
-/// Prompts that run on an engine when it ends.
-const CUT: u64 = 12;
+/// Number of prompts that run on an engine when it ends.
+const PROMPTS_PER_ENGINE: u64 = 12;
 
 fn fleet() -> EngineFleet {
     common::fleet(ENGINES, &common::profile(16, 46))
@@ -37,25 +38,27 @@
 }
 
 #[test]
-fn each_of_a_dozen_suspects_goes_to_an_engine_of_its_own() {
+fn each_of_a_dozen_suspects_is_placed_on_an_engine_of_its_own() {
     let mut usual = fleet();
-    let gathered: BTreeSet<_> = place(&mut usual, 0..CUT, false).into_iter().collect();
-    assert!(gathered.len() < 4, "others gather: {gathered:?}");
+    let gathered: BTreeSet<_> =
+        place(&mut usual, 0..PROMPTS_PER_ENGINE, false).into_iter().collect();
+    assert!(gathered.len() < 4, "other prompts are spread: {gathered:?}");
     let mut careful = fleet();
-    let apart: BTreeSet<_> = place(&mut careful, 0..CUT, true).into_iter().collect();
+    let apart: BTreeSet<_> = place(&mut careful, 0..PROMPTS_PER_ENGINE, true).into_iter().collect();
     assert_eq!(apart.len(), 12, "{apart:?}");
 }
 
 #[test]
-fn a_suspect_goes_where_no_other_suspect_is_and_the_fewest_others_run() {
+fn a_suspect_is_placed_where_no_other_suspect_and_the_fewest_prompts_run() {
     let mut fleet = fleet();
     let others = place(&mut fleet, 0..10, false);
     let first = place(&mut fleet, 100..101, true);
-    assert!(!others.contains(&first[0]), "an engine with nobody on it");
-    // Each engine but the others' has a suspect in the end, and the next one goes to theirs.
+    assert!(!others.contains(&first[0]), "suspect placed beside other prompts");
+    // The suspects fill the engines without other prompts first; the last one is placed on the
+    // engine with the other prompts.
     let rest = place(&mut fleet, 101..100 + ENGINES as u64, true);
     let all: BTreeSet<_> = first.iter().chain(&rest).collect();
-    assert_eq!(all.len(), ENGINES, "no two suspects together");
+    assert_eq!(all.len(), ENGINES, "two suspects share an engine");
 }
 
 #[test]
@@ -66,5 +69,5 @@
     (long.objective, long.whole_objective) = (Duration::from_secs(20), Duration::from_secs(20));
     (long.pause, long.deadline) = (Duration::from_secs(1), Duration::from_secs(60));
     let plan = fleet.place(MonotonicTime(1_000_000), &long).expect("a place");
-    assert!(!plan.helpers.is_empty(), "one engine does not hold it");
+    assert!(!plan.helpers.is_empty(), "placed on one engine, which cannot hold it");
 }
--- a/crates/placement/tests/without_a_home.rs
+++ b/crates/placement/tests/without_a_home.rs
@@ -1,8 +1,9 @@
-//! Two hundred entries place prompts at the same moment, each on its own knowledge: what they do
-//! without talking has to add up to something sensible.
+//! Placement by two hundred entries at the same moment, none of which knows the placements of the
+//! others.
 //!
-//! The pattern: all daemons that hold the log are off in a surge, and each entry has a prompt or two
-//! in a second. Figures are those of 112 engines with 10 places each.
+//! Guards against collisions on the same engines during a surge while all daemons with the log are
+//! down. Each entry then has a prompt or two per second. The sizes are those of a deployment with
+//! 112 engines of 10 slots.
 
 mod common;
 
@@ -30,7 +31,8 @@
     *state ^ (*state >> 29)
 }
 
-/// Returns how many prompts each engine writes when every entry places `each` of them alone.
+/// Returns the number of prompts that each engine writes when every entry places `each` prompts by
+/// itself.
 fn placed_alone(each: u64, tokens: u64, seed: u64) -> BTreeMap<EndpointStart, usize> {
     let mut state = seed;
     let mut mains = BTreeMap::new();
@@ -52,16 +54,19 @@
         for each in [1, 2, 3] {
             let mains = placed_alone(each, 5_000, seed);
             let most = mains.values().max().copied().unwrap();
-            // A fair draw of 200, 400, 600 among 112 has 7, 11, 14 on the fullest.
+            // A uniform draw of 200, 400 or 600 among 112 has 7, 11 or 14 on the fullest engine.
             let fair = [7, 11, 14][usize::try_from(each).unwrap() - 1];
-            assert!(most <= 2 * fair, "seed {seed}: {most} on one engine for {each} each");
-            assert!(mains.len() >= 70, "seed {seed}: on {} engines", mains.len());
+            assert!(
+                most <= 2 * fair,
+                "seed {seed}: {most} prompts on one engine with {each} per entry"
+            );
+            assert!(mains.len() >= 70, "seed {seed}: prompts on only {} engines", mains.len());
         }
     }
 }
 
 #[test]
-fn entries_without_a_home_spread_long_prompts_and_still_read_them_together() {
+fn entries_without_a_home_spread_long_prompts_and_still_split_them() {
     let mains = placed_alone(1, 300_000, 3);
     assert!(mains.values().max().is_some_and(|most| *most <= 10), "{mains:?}");
     let plan = fleet().place_among(MonotonicTime(1), &ask(1, 1, 300_000), EngineScope::Drawn(9));
@@ -69,7 +74,7 @@
 }
 
 #[test]
-fn cells_divide_all_engines_and_homes_of_cells_do_not_meet() {
+fn cells_partition_all_engines_and_a_home_of_a_cell_uses_only_its_own() {
     let engines: Vec<EndpointStart> =
         (0..ENGINES).map(|n| format!("e{n}").parse().unwrap()).collect();
     for count in 1..=6 {
