--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use oriolepass_consensus::Envelope;
-use oriolepass_placement::{EngineCell, PromptAsk, PromptKey, PromptPlan, SpareLack};
+use oriolepass_placement::{EngineCell, PlacementRefusal, PromptAsk, PromptKey, PromptPlan};
 use oriolepass_quarantine::CaseNews;
 use oriolepass_routing::{
     DrainCommand, DrainOutcome, DrainRegister, RegisterOutcome, RoutingRevision, RoutingText,
@@ -50,7 +50,7 @@
 
 /// The answer to a request to place a prompt, from the home of the engines (the daemon that places
 /// prompts on them) or from a deputy (a daemon that places them while the home is away).
-pub(crate) type PlaceVerdict = Result<PromptPlan, SpareLack>;
+pub(crate) type PlaceVerdict = Result<PromptPlan, PlacementRefusal>;
 
 /// A change in the progress of a placed prompt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
