--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -28,7 +28,7 @@
         if now < self.join_due {
             return;
         }
-        self.join_due = now + self.config.election;
+        self.join_due = now + self.config.election_timeout;
         // The disks that this replica knows of may have been replaced since, so it asks by
         // instance.
         let known = self.voters().voters.iter().map(|voter| voter.instance.clone());
@@ -91,7 +91,7 @@
     pub(crate) fn leader_may_hold_lease(&self, now: MonotonicTime) -> bool {
         match &self.role {
             RoleState::Leader(_) => true,
-            _ => now.since(self.contact) < self.config.election,
+            _ => now.since(self.contact) < self.config.election_timeout,
         }
     }
 
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -96,7 +96,7 @@
             contact.unwrap_or(leader.since)
         };
         let latest = self.voters().quorum_value(heard);
-        latest.is_none_or(|latest| now.since(latest) > self.config.election)
+        latest.is_none_or(|latest| now.since(latest) > self.config.election_timeout)
     }
 
     fn send_heartbeats(&mut self, now: MonotonicTime) {
@@ -354,7 +354,9 @@
         let ready = |(replica, progress): &(&ReplicaId, &ReplicaProgress)| {
             self.voters().is_voter(replica)
                 && progress.matched == last
-                && progress.last_contact.is_some_and(|at| now.since(at) < self.config.election)
+                && progress
+                    .last_contact
+                    .is_some_and(|at| now.since(at) < self.config.election_timeout)
         };
         let Some((heir, _)) = leader.progress.iter().find(ready) else { return false };
         let heir = heir.clone();
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone)]
 pub struct ConsensusConfig {
     /// The least time without a leader before an election; at most twice this.
-    pub election: Duration,
+    pub election_timeout: Duration,
     /// Between heartbeats of a leader.
     pub heartbeat: Duration,
     /// The most that two clocks differ in rate, in percent.
@@ -44,7 +44,7 @@
     /// A follower that answered does not vote for another for `election` on its own clock. The
     /// leader's clock may run slower by the drift, so its lease is shorter by that much.
     pub fn lease(&self) -> Duration {
-        self.election * (100 - self.drift_percent) / 100
+        self.election_timeout * (100 - self.drift_percent) / 100
     }
 }
 
@@ -519,7 +519,8 @@
     }
 
     pub(crate) fn reset_election(&mut self, now: MonotonicTime) {
-        let least = u64::try_from(self.config.election.as_micros()).expect("a short timeout");
+        let least =
+            u64::try_from(self.config.election_timeout.as_micros()).expect("a short timeout");
         let timeout = self.random.random_range(least..2 * least);
         self.election_due = now + Duration::from_micros(timeout);
     }
--- a/crates/consensus/src/reconcile.rs
+++ b/crates/consensus/src/reconcile.rs
@@ -68,7 +68,7 @@
     fn next_learner(&self, now: MonotonicTime) -> Option<VoterSet> {
         let RoleState::Leader(leader) = &self.role else { return None };
         let set = self.voters();
-        let fresh = |asked: &MonotonicTime| now.since(*asked) < self.config.election * 3;
+        let fresh = |asked: &MonotonicTime| now.since(*asked) < self.config.election_timeout * 3;
         let (replica, _) = leader.asked.values().find(|(replica, asked)| {
             fresh(asked)
                 && set.wanted.contains(&replica.instance)
@@ -123,7 +123,9 @@
         leader.progress.get(replica).is_some_and(|progress| {
             progress.matched >= enough
                 && progress.matched >= leader.first_index
-                && progress.last_contact.is_some_and(|at| now.since(at) < self.config.election)
+                && progress
+                    .last_contact
+                    .is_some_and(|at| now.since(at) < self.config.election_timeout)
         })
     }
 
@@ -133,7 +135,9 @@
         let answers = |replica: &&ReplicaId| {
             **replica == self.id
                 || leader.progress.get(*replica).is_some_and(|progress| {
-                    progress.last_contact.is_some_and(|at| now.since(at) < self.config.election)
+                    progress
+                        .last_contact
+                        .is_some_and(|at| now.since(at) < self.config.election_timeout)
                 })
         };
         set.voters.iter().filter(answers).count() >= set.quorum()
--- a/crates/consensus/tests/forming.rs
+++ b/crates/consensus/tests/forming.rs
@@ -35,7 +35,7 @@
         let folder = DiskFolder::fake(disk.clone());
         let (store, recovered) = LogStore::open(folder, SEGMENT_BYTES).expect("a store");
         let config = ConsensusConfig {
-            election: Duration::from_millis(200),
+            election_timeout: Duration::from_millis(200),
             heartbeat: Duration::from_millis(30),
             drift_percent: 10,
             message_bytes: 4_096,
--- a/crates/consensus/tests/harness/node.rs
+++ b/crates/consensus/tests/harness/node.rs
@@ -106,7 +106,7 @@
         let torn = recovered.cut_bytes > 0;
         self.seed = self.seed.wrapping_add(1);
         let config = ConsensusConfig {
-            election: Duration::from_millis(200),
+            election_timeout: Duration::from_millis(200),
             heartbeat: Duration::from_millis(30),
             drift_percent: DRIFT_PERCENT,
             message_bytes: 600,
--- a/crates/consensus/tests/learner.rs
+++ b/crates/consensus/tests/learner.rs
@@ -27,7 +27,7 @@
         let now = MonotonicTime(1);
         let node = |number: usize| {
             let config = ConsensusConfig {
-                election: Duration::from_millis(200),
+                election_timeout: Duration::from_millis(200),
                 heartbeat: Duration::from_millis(30),
                 drift_percent: 10,
                 message_bytes: 4_096,
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -283,7 +283,7 @@
 fn consensus_config(shared: &DaemonShared) -> ConsensusConfig {
     let timing = &shared.settings.timing;
     ConsensusConfig {
-        election: timing.election,
+        election_timeout: timing.election,
         heartbeat: timing.heartbeat,
         drift_percent: timing.drift_percent,
         message_bytes: MESSAGE_BYTES,
--- a/crates/gateway/src/replica/mod.rs
+++ b/crates/gateway/src/replica/mod.rs
@@ -220,7 +220,7 @@
     fn start(&mut self, now: MonotonicTime, first_voters: Vec<InstanceId>) {
         let Some(OpenedStore { recovered, batches }) = self.opened.take() else { return };
         let config = ConsensusConfig {
-            election: ELECTION,
+            election_timeout: ELECTION,
             heartbeat: HEARTBEAT,
             drift_percent: DRIFT_PERCENT,
             message_bytes: MESSAGE_BYTES,
