--- a/crates/consensus/src/forming.rs
+++ b/crates/consensus/src/forming.rs
@@ -20,7 +20,7 @@
         if now < self.join_due {
             return;
         }
-        self.join_due = now + self.config.heartbeat;
+        self.join_due = now + self.config.heartbeat_interval;
         let RoleState::Forming { met } = &self.role else { return };
         let message = ConsensusMessage::Forming {
             met: met.clone(),
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -100,7 +100,7 @@
     }
 
     fn send_heartbeats(&mut self, now: MonotonicTime) {
-        let heartbeat = self.config.heartbeat;
+        let heartbeat = self.config.heartbeat_interval;
         let Some(leader) = self.leading() else { return };
         leader.heartbeat_due = now + heartbeat;
         leader.round += 1;
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -24,7 +24,7 @@
     /// The least time without a leader before an election; at most twice this.
     pub election_timeout: Duration,
     /// Between heartbeats of a leader.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// The most that two clocks differ in rate, in percent.
     pub drift_percent: u32,
     /// The most bytes of entries, or of a snapshot, in one message.
--- a/crates/consensus/tests/forming.rs
+++ b/crates/consensus/tests/forming.rs
@@ -36,7 +36,7 @@
         let (store, recovered) = LogStore::open(folder, SEGMENT_BYTES).expect("a store");
         let config = ConsensusConfig {
             election_timeout: Duration::from_millis(200),
-            heartbeat: Duration::from_millis(30),
+            heartbeat_interval: Duration::from_millis(30),
             drift_percent: 10,
             message_bytes: 4_096,
             first_voters: names(first_voters),
--- a/crates/consensus/tests/harness/node.rs
+++ b/crates/consensus/tests/harness/node.rs
@@ -107,7 +107,7 @@
         self.seed = self.seed.wrapping_add(1);
         let config = ConsensusConfig {
             election_timeout: Duration::from_millis(200),
-            heartbeat: Duration::from_millis(30),
+            heartbeat_interval: Duration::from_millis(30),
             drift_percent: DRIFT_PERCENT,
             message_bytes: 600,
             first_voters: self.first_voters.clone(),
--- a/crates/consensus/tests/learner.rs
+++ b/crates/consensus/tests/learner.rs
@@ -28,7 +28,7 @@
         let node = |number: usize| {
             let config = ConsensusConfig {
                 election_timeout: Duration::from_millis(200),
-                heartbeat: Duration::from_millis(30),
+                heartbeat_interval: Duration::from_millis(30),
                 drift_percent: 10,
                 message_bytes: 4_096,
                 first_voters: first.clone(),
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -284,7 +284,7 @@
     let timing = &shared.settings.timing;
     ConsensusConfig {
         election_timeout: timing.election,
-        heartbeat: timing.heartbeat,
+        heartbeat_interval: timing.heartbeat,
         drift_percent: timing.drift_percent,
         message_bytes: MESSAGE_BYTES,
         first_voters: shared.settings.voters.iter().map(|v| v.instance.clone()).collect(),
--- a/crates/gateway/src/replica/mod.rs
+++ b/crates/gateway/src/replica/mod.rs
@@ -221,7 +221,7 @@
         let Some(OpenedStore { recovered, batches }) = self.opened.take() else { return };
         let config = ConsensusConfig {
             election_timeout: ELECTION,
-            heartbeat: HEARTBEAT,
+            heartbeat_interval: HEARTBEAT,
             drift_percent: DRIFT_PERCENT,
             message_bytes: MESSAGE_BYTES,
             first_voters,
