--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -266,7 +266,7 @@
     }
 
     /// Names replicas that may know the system, for one that was told of no first voters.
-    pub fn learn_contacts(&mut self, contacts: impl IntoIterator<Item = InstanceId>) {
+    pub fn set_contacts(&mut self, contacts: impl IntoIterator<Item = InstanceId>) {
         self.contacts = contacts.into_iter().filter(|c| *c != self.id.instance).collect();
     }
 
--- a/crates/gateway/src/replica/mod.rs
+++ b/crates/gateway/src/replica/mod.rs
@@ -213,7 +213,7 @@
     /// Names replicas to ask for membership.
     pub(crate) fn learn_contacts(&mut self, contacts: &[InstanceId]) {
         if let Some(running) = &mut self.running {
-            running.node.learn_contacts(contacts.iter().cloned());
+            running.node.set_contacts(contacts.iter().cloned());
         }
     }
 
