--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -382,7 +382,7 @@
     /// # Errors
     ///
     /// Returns the leader where this node is not it.
-    pub fn want_voters(
+    pub fn set_wanted_voters(
         &mut self,
         wanted: impl IntoIterator<Item = InstanceId>,
     ) -> Result<(LogIndex, LeaderTerm), NotLeader> {
--- a/crates/consensus/tests/learner.rs
+++ b/crates/consensus/tests/learner.rs
@@ -81,7 +81,7 @@
     // The two other voters cannot be reached; the fourth instance learns.
     let all: Vec<InstanceId> = (0..4).map(name).collect();
     let node = cluster.nodes.get_mut(&leader).expect("the leader");
-    node.want_voters(all).expect("it leads");
+    node.set_wanted_voters(all).expect("it leads");
     let learns = |cluster: &SmallCluster| {
         let voters = cluster.nodes[&leader].voters();
         voters.learners.iter().any(|learner| learner.instance == spare)
--- a/crates/daemon/src/log/driver.rs
+++ b/crates/daemon/src/log/driver.rs
@@ -164,7 +164,7 @@
                 let _ = reply.send(self.as_leader(now).map(|()| self.report()));
             }
             LogInput::WantVoters(wanted, reply) => {
-                let answer = self.node.want_voters(wanted).map(|_| ());
+                let answer = self.node.set_wanted_voters(wanted).map(|_| ());
                 let _ = reply.send(answer.map_err(|error| self.not_leader(error.leader.as_ref())));
             }
             LogInput::HandOver(reply) => {
--- a/crates/gateway/src/replica/mod.rs
+++ b/crates/gateway/src/replica/mod.rs
@@ -352,7 +352,7 @@
     pub(crate) fn want_voters(&mut self, wanted: impl IntoIterator<Item = InstanceId>) {
         if let Some(running) = &mut self.running {
             // Only a leader asks, and one that has just lost its place has nobody to tell.
-            let _ = running.node.want_voters(wanted);
+            let _ = running.node.set_wanted_voters(wanted);
         }
     }
 
