--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -348,7 +348,7 @@
     /// Gives up leadership in favour of an up-to-date voter, as a graceful shutdown does.
     ///
     /// Returns whether there was one to hand over to.
-    pub fn hand_over(&mut self, now: MonotonicTime) -> bool {
+    pub fn transfer_leadership(&mut self, now: MonotonicTime) -> bool {
         let last = self.log.last_index();
         let RoleState::Leader(leader) = &self.role else { return false };
         let ready = |(replica, progress): &(&ReplicaId, &ReplicaProgress)| {
--- a/crates/consensus/tests/harness/mod.rs
+++ b/crates/consensus/tests/harness/mod.rs
@@ -250,7 +250,7 @@
             }
             40..=41 => {
                 let now = self.now(victim);
-                if !self.is_suspended(victim) && self.nodes[victim].hand_over(now) {
+                if !self.is_suspended(victim) && self.nodes[victim].transfer_leadership(now) {
                     coverage.hand_overs += 1;
                 }
             }
--- a/crates/consensus/tests/harness/node.rs
+++ b/crates/consensus/tests/harness/node.rs
@@ -183,8 +183,8 @@
         self.running.as_ref().is_some_and(|running| running.node.holds_lease(now))
     }
 
-    pub fn hand_over(&mut self, now: MonotonicTime) -> bool {
-        self.running.as_mut().is_some_and(|running| running.node.hand_over(now))
+    pub fn transfer_leadership(&mut self, now: MonotonicTime) -> bool {
+        self.running.as_mut().is_some_and(|running| running.node.transfer_leadership(now))
     }
 
     /// Proposes a command; returns how many earlier proposals it replaces.
--- a/crates/daemon/src/log/driver.rs
+++ b/crates/daemon/src/log/driver.rs
@@ -168,7 +168,7 @@
                 let _ = reply.send(answer.map_err(|error| self.not_leader(error.leader.as_ref())));
             }
             LogInput::HandOver(reply) => {
-                let _ = reply.send(self.node.hand_over(now));
+                let _ = reply.send(self.node.transfer_leadership(now));
             }
             LogInput::Stop => {}
         }
--- a/crates/gateway/src/replica/mod.rs
+++ b/crates/gateway/src/replica/mod.rs
@@ -287,7 +287,7 @@
         let oldest = running.unsynced.front().map(|(_, _, at)| *at);
         let is_stalled = oldest.is_some_and(|at| now.since(at) > DISK_PATIENCE);
         if is_stalled && running.node.role() == NodeRole::Leader {
-            running.node.hand_over(now);
+            running.node.transfer_leadership(now);
         }
     }
 
@@ -320,7 +320,7 @@
 
     /// Gives up leadership, if it is this replica's, in favour of another.
     pub(crate) fn hand_over(&mut self, now: MonotonicTime) -> bool {
-        self.running.as_mut().is_some_and(|running| running.node.hand_over(now))
+        self.running.as_mut().is_some_and(|running| running.node.transfer_leadership(now))
     }
 
     /// Carries out what the node wants done.
