--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,4 +1,4 @@
-//! Elections.
+//! Elects a leader: join requests, pre-votes, votes and leadership transfer.
 
 use std::collections::BTreeSet;
 
@@ -8,13 +8,13 @@
 use crate::node::{ConsensusNode, RoleState};
 use crate::replica::ReplicaId;
 
-/// A log's last term and index; the greater of two is the more complete log.
+/// The term and index of a log's last entry. Of two logs, the greater value is the more complete.
 type LogEnd = (LeaderTerm, LogIndex);
 
 impl ConsensusNode {
     pub(crate) fn tick_election(&mut self, now: MonotonicTime) {
         if !self.voters().is_voter(&self.id) {
-            self.ask_to_join(now);
+            self.request_join(now);
             return;
         }
         if now >= self.election_due {
@@ -23,25 +23,26 @@
         }
     }
 
-    /// Lets a replica that is no voter make itself known to whoever leads.
-    fn ask_to_join(&mut self, now: MonotonicTime) {
+    /// Asks the leader, whichever replica that is, to add this non-voting replica to the voter set.
+    fn request_join(&mut self, now: MonotonicTime) {
         if now < self.join_due {
             return;
         }
         self.join_due = now + self.config.election_timeout;
-        // The disks that this replica knows of may have been replaced since, so it asks by
-        // instance.
+        // The known disks may have been replaced since, so requests are addressed by instance.
         let known = self.voters().voters.iter().map(|voter| voter.instance.clone());
-        let mut asked: BTreeSet<_> =
+        let mut targets: BTreeSet<_> =
             known.chain(self.config.first_voters.iter().chain(&self.contacts).cloned()).collect();
-        asked.remove(&self.id.instance);
-        for instance in asked {
+        targets.remove(&self.id.instance);
+        for instance in targets {
             self.send_to_instance(instance, ConsensusMessage::JoinAsk);
         }
     }
 
-    /// Asks whether an election could be won, without disturbing anyone: a replica that was cut
-    /// off for a while must not depose a healthy leader by a higher term when it comes back.
+    /// Asks the voters whether an election could be won, without raising the term.
+    ///
+    /// Without the pre-vote, a replica that returns from a network partition would depose a
+    /// healthy leader with its higher term.
     fn start_pre_vote(&mut self, now: MonotonicTime) {
         self.reset_election(now);
         self.role = RoleState::PreCandidate { granted: vec![self.id.clone()] };
@@ -54,13 +55,14 @@
             last_index: self.log.last_index(),
             last_term: self.log.last_term(),
         };
-        self.ask_voters(&message);
+        self.send_to_voters(&message);
     }
 
+    /// Starts an election in the next term, in which this replica votes for itself.
     pub(crate) fn start_election(&mut self, now: MonotonicTime, handed_over: bool) {
         self.enter_term(self.term.next());
         self.vote = Some(self.id.clone());
-        self.persist_hard();
+        self.persist_hard_state();
         self.leader = None;
         self.reset_election(now);
         self.role = RoleState::Candidate { granted: vec![self.id.clone()] };
@@ -74,28 +76,30 @@
             last_term: self.log.last_term(),
             handed_over,
         };
-        self.ask_voters(&message);
+        self.send_to_voters(&message);
     }
 
-    /// The asks wait for the sync of this replica's own vote, which counts from then on.
-    fn ask_voters(&mut self, message: &ConsensusMessage) {
+    /// Sends a message to all other voters once this replica's own vote is synced.
+    ///
+    /// The candidate counts its own vote, so that vote must be durable before any request is sent.
+    fn send_to_voters(&mut self, message: &ConsensusMessage) {
         let others: Vec<ReplicaId> =
             self.voters().voters.iter().filter(|v| **v != self.id).cloned().collect();
         others.iter().for_each(|voter| self.send_synced(voter, message.clone()));
     }
 
-    /// Returns whether a leader was heard within the election timeout.
+    /// Returns whether a leader was heard from within the election timeout.
     ///
-    /// This is the other half of the leader's lease. A restarted node counts its start as such
-    /// a moment, since it has forgotten when it last answered a leader.
+    /// The leader's lease relies on voters that refuse votes for this time. A restarted node has
+    /// lost the time of its last answer to a leader, so it counts its start as that time.
     pub(crate) fn leader_may_hold_lease(&self, now: MonotonicTime) -> bool {
         match &self.role {
             RoleState::Leader(_) => true,
-            _ => now.since(self.contact) < self.config.election_timeout,
+            _ => now.since(self.last_leader_contact) < self.config.election_timeout,
         }
     }
 
-    fn own_end(&self) -> LogEnd {
+    fn own_log_end(&self) -> LogEnd {
         (self.log.last_term(), self.log.last_index())
     }
 
@@ -106,7 +110,8 @@
         term: LeaderTerm,
         end: LogEnd,
     ) {
-        let granted = term > self.term && end >= self.own_end() && !self.leader_may_hold_lease(now);
+        let granted =
+            term > self.term && end >= self.own_log_end() && !self.leader_may_hold_lease(now);
         let term = if granted { term } else { self.term };
         self.send_synced(from, ConsensusMessage::PreVoteAnswer { term, granted });
     }
@@ -143,8 +148,8 @@
         end: LogEnd,
         handed_over: bool,
     ) {
-        // The term of an ask that comes too early is not even taken over: that alone would
-        // depose a leader that others still rely on.
+        // A vote request that arrives while a leader may hold its lease is dropped before its term
+        // is adopted: the higher term alone would depose a leader that other replicas rely on.
         if self.leader_may_hold_lease(now) && !handed_over && term > self.term {
             return;
         }
@@ -154,12 +159,12 @@
         if term > self.term {
             self.step_down(now, term);
         }
-        let free = self.vote.as_ref().is_none_or(|vote| vote == from);
-        let granted = term == self.term && free && end >= self.own_end();
+        let may_vote = self.vote.as_ref().is_none_or(|vote| vote == from);
+        let granted = term == self.term && may_vote && end >= self.own_log_end();
         if granted && self.vote.is_none() {
             self.vote = Some(from.clone());
             self.role = RoleState::Follower;
-            self.persist_hard();
+            self.persist_hard_state();
             self.reset_election(now);
         }
         self.send_synced(from, ConsensusMessage::VoteAnswer { term: self.term, granted });
@@ -187,7 +192,9 @@
         }
     }
 
-    /// Becomes a follower, of nobody yet, in the given term or the present one.
+    /// Becomes a follower without a known leader, in `term` or in the current term if that is later.
+    ///
+    /// A replica that is still forming stays in that role.
     pub(crate) fn step_down(&mut self, now: MonotonicTime, term: LeaderTerm) {
         if let RoleState::Leader(leader) = &mut self.role {
             let reads = leader.take_reads();
--- a/crates/consensus/src/follower.rs
+++ b/crates/consensus/src/follower.rs
@@ -1,4 +1,4 @@
-//! A follower's side of replication.
+//! Implements the follower's side of replication: append and snapshot messages.
 
 use std::sync::Arc;
 
@@ -7,18 +7,20 @@
 
 use crate::log::{LogBuffer, LogEntry};
 use crate::message::ConsensusMessage;
-use crate::node::{ConsensusNode, HeldSnapshot, RoleState, meta_of};
+use crate::node::{ConsensusNode, HeldSnapshot, RoleState, snapshot_meta};
 use crate::replica::ReplicaId;
 
-/// The largest snapshot accepted, in bytes.
+/// The largest snapshot that a follower accepts, in bytes.
 const MAX_SNAPSHOT_BYTES: u64 = 4 << 30;
 
-/// What a message is answered with that is not followed. Its round may be one of an earlier term, and rounds
-/// begin anew in each: a leader that leads again would take it for an answer to a round that it has not
-/// sent yet, and count on this replica for its lease and its reads without end.
+/// The round in the answer to a message that is refused because its sender is not followed.
+///
+/// The refused message may carry a round of an earlier term, and rounds restart in every term. If
+/// the answer echoed that round, a re-elected leader would take it for an acknowledgement of a
+/// round that it has not sent yet, and would count this replica for its lease and reads indefinitely.
 const NO_ROUND: u64 = 0;
 
-/// A snapshot that is arriving.
+/// A snapshot of which some chunks have been received.
 #[derive(Debug)]
 pub(crate) struct IncomingSnapshot {
     index: LogIndex,
@@ -28,11 +30,13 @@
 }
 
 impl ConsensusNode {
-    /// Follows the sender, which leads in `term`. Returns false where the term is over.
+    /// Follows the sender as the leader of `term`.
+    ///
+    /// Returns false if `term` is older than the current one or this replica is still forming.
     ///
     /// # Panics
     ///
-    /// Panics when a second leader shows up in one term.
+    /// Panics if a second leader appears in one term.
     fn follow(&mut self, now: MonotonicTime, from: &ReplicaId, term: LeaderTerm) -> bool {
         if term < self.term {
             return false;
@@ -42,7 +46,7 @@
         }
         assert!(!matches!(self.role, RoleState::Leader(_)), "{from} leads in this node's own term");
         if matches!(self.role, RoleState::Forming { .. }) {
-            // A replica that has not adopted a first set is in no set that the leader knows.
+            // A replica that has not adopted a first voter set is in no set known to the leader.
             return false;
         }
         if self.leader.as_ref() != Some(from) {
@@ -51,7 +55,7 @@
             self.leader = Some(from.clone());
         }
         self.role = RoleState::Follower;
-        self.contact = now;
+        self.last_leader_contact = now;
         self.reset_election(now);
         true
     }
@@ -71,7 +75,7 @@
             self.answer_append(from, NO_ROUND, false, LogIndex::ZERO);
             return;
         }
-        match self.match_point(prev_index, prev_term) {
+        match self.check_prev_entry(prev_index, prev_term) {
             Err(hint) => self.answer_append(from, round, false, hint),
             Ok(()) => {
                 let last = LogIndex(prev_index.0 + entries.len() as u64);
@@ -82,9 +86,13 @@
         }
     }
 
-    /// Finds whether the leader's entry at `index` is this log's too, or where it should try.
-    fn match_point(&self, index: LogIndex, term: LeaderTerm) -> Result<(), LogIndex> {
-        // What a snapshot covers is committed, and so the same everywhere.
+    /// Checks that this log holds the leader's entry at `index`.
+    ///
+    /// # Errors
+    ///
+    /// Returns the index of the entry that the leader should compare next.
+    fn check_prev_entry(&self, index: LogIndex, term: LeaderTerm) -> Result<(), LogIndex> {
+        // Entries covered by a snapshot are committed, so they are the same on all replicas.
         if index < self.log.base_index() {
             return Ok(());
         }
@@ -92,7 +100,7 @@
             Some(own) if own == term => Ok(()),
             None => Err(self.log.last_index()),
             Some(own) => {
-                // The whole term is in doubt: try before its first entry.
+                // All entries of this term may differ, so the hint skips to before its first entry.
                 let mut hint = LogIndex(index.0 - 1);
                 while hint > self.commit && self.log.term_at(hint) == Some(own) {
                     hint = LogIndex(hint.0 - 1);
@@ -102,6 +110,7 @@
         }
     }
 
+    /// Stores entries from the leader and truncates conflicting entries first.
     fn merge(&mut self, entries: Vec<LogEntry>) {
         for entry in entries {
             if entry.index <= self.log.base_index() {
@@ -148,18 +157,18 @@
             self.answer_snapshot(from, round, index, total, true);
             return;
         }
-        let next = self.collect(index, last_term, offset, total, &bytes);
+        let next = self.append_chunk(index, last_term, offset, total, &bytes);
         if next < total {
             self.answer_snapshot(from, round, index, next, false);
             return;
         }
-        let data = self.incoming.take().expect("a snapshot that is complete").data;
+        let data = self.incoming.take().expect("the snapshot is complete").data;
         self.install(Arc::new(HeldSnapshot { index, term: last_term, voters, data }));
         self.answer_snapshot(from, round, index, total, true);
     }
 
-    /// Adds a piece and returns where the next one should start.
-    fn collect(
+    /// Appends a chunk and returns the offset at which the next chunk should start.
+    fn append_chunk(
         &mut self,
         index: LogIndex,
         term: LeaderTerm,
@@ -179,14 +188,15 @@
         incoming.data.len() as u64
     }
 
+    /// Replaces the state and the log up to the snapshot's index by the snapshot.
     fn install(&mut self, held: Arc<HeldSnapshot>) {
         if self.log.term_at(held.index) == Some(held.term) {
-            // The entries after it were acknowledged and may count towards a commit, so they
-            // stay.
+            // The entries after the snapshot are kept: they were acknowledged and may count
+            // towards a commit.
             self.log.compact_to(held.index);
         } else {
             self.log = LogBuffer::new(held.index, held.term);
-            self.truncate_marks(held.index);
+            self.discard_bookkeeping_after(held.index);
             self.batch().records.push(LogRecord::Reset { index: held.index, term: held.term });
         }
         self.voter_sets.retain(|(from, _)| *from > held.index);
@@ -198,14 +208,14 @@
         self.output.restore = Some(Arc::clone(&held));
         let index = held.index;
         let batch = self.batch();
-        batch.snapshot = Some((meta_of(&held), held));
+        batch.snapshot = Some((snapshot_meta(&held), held));
         batch.compact = Some((index, index));
     }
 
-    /// The log was replaced by a snapshot: no entry beyond it is synced.
-    fn truncate_marks(&mut self, index: LogIndex) {
+    /// Discards voter sets and synced positions after `index`, once a snapshot replaced the log.
+    fn discard_bookkeeping_after(&mut self, index: LogIndex) {
         self.voter_sets.retain(|(from, _)| *from <= index);
-        self.forget_unsynced(index);
+        self.discard_synced_after(index);
     }
 
     fn answer_snapshot(
--- a/crates/consensus/src/forming.rs
+++ b/crates/consensus/src/forming.rs
@@ -1,4 +1,4 @@
-//! How a new system comes into being.
+//! Forms a new cluster once all of its first voters have met.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +9,7 @@
 use crate::replica::{DiskId, ReplicaId, VoterSet};
 
 impl ConsensusNode {
-    /// Starts as a replica that knows of no system.
+    /// Starts in the forming role, for a replica that belongs to no cluster yet.
     pub(crate) fn start_forming(&mut self) {
         let met = BTreeMap::from([(self.id.instance.clone(), self.id.disk)]);
         self.role = RoleState::Forming { met };
@@ -26,19 +26,20 @@
             met: met.clone(),
             first_voters: self.config.first_voters.clone(),
         };
-        let others: BTreeSet<InstanceId> =
+        let targets: BTreeSet<InstanceId> =
             self.config.first_voters.iter().chain(&self.contacts).cloned().collect();
-        for instance in others {
+        for instance in targets {
             if instance != self.id.instance {
                 self.send_to_instance(instance, message.clone());
             }
         }
     }
 
-    /// Sends to whatever replica the instance has now.
+    /// Sends to the replica that currently runs on an instance, whatever its disk.
     ///
-    /// A fresh replica's disk id must be synced before others build on it: one that forgot it
-    /// in a crash would come back as another replica in a system that waits for the first.
+    /// The message is sent after a sync, because other replicas rely on the sender's disk id. A
+    /// fresh replica that lost its disk id in a crash would return as another replica, while the
+    /// cluster waits for the first one.
     pub(crate) fn send_to_instance(&mut self, to: InstanceId, message: ConsensusMessage) {
         let envelope = Envelope { from: self.id.clone(), to, to_disk: None, message };
         self.batch().send_after.push(envelope);
@@ -55,23 +56,24 @@
             self.send_synced(from, message);
             return;
         }
-        if let RoleState::Forming { met: mine } = &mut self.role {
-            // Only what a replica says of itself counts. Hearsay may be about a disk that has
-            // been replaced since.
-            let own = met.get(&from.instance).copied();
-            // Only one that would form the same system counts. With lists that merely overlap, a
-            // replica could end up in two systems.
+        if let RoleState::Forming { met: own_met } = &mut self.role {
+            // Only the disk that a replica reports for itself counts. A disk reported by a third
+            // replica may have been replaced since.
+            let own_disk = met.get(&from.instance).copied();
+            // Only a replica with the same first voters counts. With lists that merely overlap, a
+            // replica could become a member of two clusters.
             let same = is_same_set(first_voters, &self.config.first_voters);
-            if own == Some(from.disk) && same && first_voters.contains(&from.instance) {
-                mine.insert(from.instance.clone(), from.disk);
+            if own_disk == Some(from.disk) && same && first_voters.contains(&from.instance) {
+                own_met.insert(from.instance.clone(), from.disk);
             }
             self.form_if_complete();
         }
     }
 
-    /// Forms the system once *all* first voters have been met. A majority would not do: after a
-    /// majority of voters lost their disks, they would found a second, empty system, while the
-    /// others still hold accepted state.
+    /// Forms the cluster once *all* first voters have been met.
+    ///
+    /// A majority is not enough: after a majority of voters lost their disks, they would form a
+    /// second, empty cluster, while the others still hold accepted state.
     fn form_if_complete(&mut self) {
         let RoleState::Forming { met } = &self.role else { return };
         let all = self.config.first_voters.iter().all(|instance| met.contains_key(instance));
@@ -93,18 +95,20 @@
     pub(crate) fn on_formed(&mut self, now: MonotonicTime, first: VoterSet) {
         if self.first.is_none() {
             self.adopt_first(first);
-            self.contact = now;
+            self.last_leader_contact = now;
             self.reset_election(now);
         }
     }
 
-    /// Takes over the first set. A replica that is not in it never stands for election; it asks
-    /// the leader to take it in.
+    /// Adopts and persists the first voter set.
+    ///
+    /// A replica outside this set does not stand for election until it is made a voter: it sends
+    /// join requests to the leader.
     fn adopt_first(&mut self, first: VoterSet) {
         self.voter_sets = vec![(LogIndex::ZERO, first.clone())];
         self.first = Some(first);
         self.role = RoleState::Follower;
-        self.persist_hard();
+        self.persist_hard_state();
     }
 }
 
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -1,4 +1,4 @@
-//! A leader's side of replication: entries, commits, the lease and reads.
+//! Implements the leader's side of replication: entries, commits, the lease and reads.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,9 +10,10 @@
 use crate::progress::{ReplicaProgress, SendMode};
 use crate::replica::ReplicaId;
 
-/// Rounds whose sending time is remembered; older ones are no longer of use for the lease.
-const ROUNDS_REMEMBERED: usize = 64;
+/// Heartbeat rounds whose sending time is kept. Older rounds no longer extend the lease.
+const MAX_TRACKED_ROUNDS: usize = 64;
 
+/// A read that waits for a heartbeat round and a commit.
 #[derive(Debug)]
 struct PendingRead {
     token: u64,
@@ -20,25 +21,26 @@
     index: LogIndex,
 }
 
-/// What only a leader keeps.
+/// State that exists only while the node leads.
 #[derive(Debug)]
 pub(crate) struct LeaderState {
     pub(crate) progress: BTreeMap<ReplicaId, ReplicaProgress>,
-    /// Replicas that asked to join, with the time of their last ask.
-    pub(crate) asked: BTreeMap<InstanceId, (ReplicaId, MonotonicTime)>,
-    /// The leader's first entry; before it is committed, the leader does not know which
-    /// entries of earlier terms are.
+    /// Replicas that asked to join, with the time of their last request.
+    pub(crate) join_requests: BTreeMap<InstanceId, (ReplicaId, MonotonicTime)>,
+    /// The leader's first entry. Until it is committed, the leader does not know which entries of
+    /// earlier terms are committed.
     pub(crate) first_index: LogIndex,
-    since: MonotonicTime,
+    elected_at: MonotonicTime,
     heartbeat_due: MonotonicTime,
-    /// Whether the commit index rose since the followers were told of it.
-    commit_is_news: bool,
+    /// Whether the commit index advanced since it was last sent to the followers.
+    commit_advanced: bool,
     round: u64,
     rounds: VecDeque<(u64, MonotonicTime)>,
     reads: VecDeque<PendingRead>,
 }
 
 impl LeaderState {
+    /// Removes all pending reads and returns their tokens.
     pub(crate) fn take_reads(&mut self) -> Vec<u64> {
         self.reads.drain(..).map(|read| read.token).collect()
     }
@@ -51,11 +53,11 @@
         let progress = others.map(|r| (r.clone(), ReplicaProgress::new(next))).collect();
         self.role = RoleState::Leader(Box::new(LeaderState {
             progress,
-            asked: BTreeMap::new(),
+            join_requests: BTreeMap::new(),
             first_index: next,
-            since: now,
+            elected_at: now,
             heartbeat_due: now,
-            commit_is_news: false,
+            commit_advanced: false,
             round: 0,
             rounds: VecDeque::new(),
             reads: VecDeque::new(),
@@ -65,7 +67,7 @@
         self.tick_leader(now);
     }
 
-    pub(crate) fn leading(&mut self) -> Option<&mut LeaderState> {
+    pub(crate) fn leader_state_mut(&mut self) -> Option<&mut LeaderState> {
         match &mut self.role {
             RoleState::Leader(leader) => Some(leader),
             _ => None,
@@ -78,37 +80,39 @@
             return;
         }
         self.reconcile(now);
-        let due = self.leading().is_some_and(|leader| now >= leader.heartbeat_due);
+        let due = self.leader_state_mut().is_some_and(|leader| now >= leader.heartbeat_due);
         if due {
             self.send_heartbeats(now);
         }
     }
 
-    /// Returns whether no quorum was heard within the election timeout. Such a leader may have
-    /// a successor already and steps down by itself, however long it stays cut off.
+    /// Returns whether no quorum was heard from within the election timeout.
+    ///
+    /// Such a leader may already have a successor. It steps down without a message from another
+    /// replica, so a partition of any length does not keep it in the role.
     fn lost_quorum(&self, now: MonotonicTime) -> bool {
         let RoleState::Leader(leader) = &self.role else { return false };
-        let heard = |replica: &ReplicaId| {
+        let last_contact = |replica: &ReplicaId| {
             if *replica == self.id {
                 return now;
             }
             let contact = leader.progress.get(replica).and_then(|p| p.last_contact);
-            contact.unwrap_or(leader.since)
+            contact.unwrap_or(leader.elected_at)
         };
-        let latest = self.voters().quorum_value(heard);
+        let latest = self.voters().quorum_value(last_contact);
         latest.is_none_or(|latest| now.since(latest) > self.config.election_timeout)
     }
 
     fn send_heartbeats(&mut self, now: MonotonicTime) {
         let heartbeat = self.config.heartbeat_interval;
-        let Some(leader) = self.leading() else { return };
+        let Some(leader) = self.leader_state_mut() else { return };
         leader.heartbeat_due = now + heartbeat;
         leader.round += 1;
         leader.rounds.push_back((leader.round, now));
-        if leader.rounds.len() > ROUNDS_REMEMBERED {
+        if leader.rounds.len() > MAX_TRACKED_ROUNDS {
             leader.rounds.pop_front();
         }
-        // An answer that did not come within a heartbeat is taken for lost.
+        // An answer that did not arrive within a heartbeat interval is considered lost.
         leader.progress.values_mut().for_each(|progress| progress.in_flight = 0);
         let replicas: Vec<ReplicaId> = leader.progress.keys().cloned().collect();
         for replica in replicas {
@@ -116,26 +120,26 @@
         }
     }
 
-    /// Sends what is new: entries to every replica that can take more, and the commit index.
+    /// Sends pending entries to every replica that may receive more, and an advanced commit index.
     pub(crate) fn send_entries(&mut self) {
         let last = self.log.last_index();
-        let Some(leader) = self.leading() else { return };
-        let news = std::mem::take(&mut leader.commit_is_news);
+        let Some(leader) = self.leader_state_mut() else { return };
+        let commit_advanced = std::mem::take(&mut leader.commit_advanced);
         let ready: Vec<ReplicaId> = leader
             .progress
             .iter()
             .filter(|(_, progress)| {
                 let waits = progress.next <= last && progress.may_send();
-                waits || (news && !matches!(progress.mode, SendMode::Snapshot { .. }))
+                waits || (commit_advanced && !matches!(progress.mode, SendMode::Snapshot { .. }))
             })
             .map(|(replica, _)| replica.clone())
             .collect();
         for replica in ready {
-            self.send_append(&replica, news);
+            self.send_append(&replica, commit_advanced);
         }
     }
 
-    /// Sends entries, or a piece of a snapshot, or a mere heartbeat.
+    /// Sends entries, a snapshot chunk or an empty heartbeat to a replica.
     fn send_append(&mut self, to: &ReplicaId, heartbeat: bool) {
         let (term, commit, message_bytes) = (self.term, self.commit, self.config.message_bytes);
         let last = self.log.last_index();
@@ -145,15 +149,15 @@
         let Some(progress) = leader.progress.get_mut(to) else { return };
         if let SendMode::Snapshot { .. } = progress.mode {
             if heartbeat {
-                self.send_snapshot_piece(to);
+                self.send_snapshot_chunk(to);
             }
             return;
         }
         let prev_index = LogIndex(progress.next.0 - 1);
         let Some(prev_term) = self.log.term_at(prev_index) else {
-            let held = snapshot.expect("entries are dropped only behind a snapshot");
+            let held = snapshot.expect("only entries covered by a snapshot are dropped");
             progress.mode = SendMode::Snapshot { held, offset: 0 };
-            self.send_snapshot_piece(to);
+            self.send_snapshot_chunk(to);
             return;
         };
         let may_carry = progress.may_send() && progress.next <= last;
@@ -170,17 +174,17 @@
         }
         let message =
             ConsensusMessage::Append { term, prev_index, prev_term, entries, commit, round };
-        // Entries go out before this node has synced them itself: its own copy counts towards
-        // the quorum only once it has.
+        // Entries are sent before this node has synced them. Its own copy counts towards the
+        // quorum only after the sync.
         self.send_now(to, message);
     }
 
-    fn send_snapshot_piece(&mut self, to: &ReplicaId) {
+    fn send_snapshot_chunk(&mut self, to: &ReplicaId) {
         let (term, size) = (self.term, self.config.message_bytes);
         let RoleState::Leader(leader) = &self.role else { return };
         let Some(progress) = leader.progress.get(to) else { return };
         let SendMode::Snapshot { held, offset } = &progress.mode else { return };
-        let start = usize::try_from(*offset).expect("a snapshot that fits in memory");
+        let start = usize::try_from(*offset).expect("the snapshot fits in memory");
         let end = (start + size).min(held.data.len());
         let message = ConsensusMessage::Snapshot {
             term,
@@ -195,8 +199,11 @@
         self.send_now(to, message);
     }
 
-    /// Notes a sign of life; returns the progress if the sender is one of this leader's.
-    fn heard(
+    /// Records contact with a replica and the round that it acknowledges.
+    ///
+    /// Returns the replica's progress, or none if this node does not lead in `term` or does not
+    /// replicate to the sender.
+    fn record_contact(
         &mut self,
         now: MonotonicTime,
         from: &ReplicaId,
@@ -210,7 +217,7 @@
         if term < self.term {
             return None;
         }
-        let progress = self.leading()?.progress.get_mut(from)?;
+        let progress = self.leader_state_mut()?.progress.get_mut(from)?;
         progress.last_contact = Some(now);
         progress.acked_round = progress.acked_round.max(round);
         Some(progress)
@@ -225,7 +232,7 @@
         accepted: Option<LogIndex>,
         hint: LogIndex,
     ) {
-        let Some(progress) = self.heard(now, from, term, round) else { return };
+        let Some(progress) = self.record_contact(now, from, term, round) else { return };
         match accepted {
             Some(index) => progress.accepted(index),
             None => {
@@ -246,7 +253,7 @@
         round: u64,
         (index, next_offset, done): (LogIndex, u64, bool),
     ) {
-        let Some(progress) = self.heard(now, from, term, round) else { return };
+        let Some(progress) = self.record_contact(now, from, term, round) else { return };
         let SendMode::Snapshot { held, offset } = &mut progress.mode else { return };
         if held.index != index {
             return;
@@ -258,12 +265,12 @@
             progress.in_flight = 0;
         } else if next_offset <= held.data.len() as u64 {
             *offset = next_offset;
-            self.send_snapshot_piece(from);
+            self.send_snapshot_chunk(from);
         }
         self.answer_reads();
     }
 
-    /// Commits what a quorum has synced.
+    /// Advances the commit index to the last entry of the current term that a quorum has synced.
     pub(crate) fn advance_commit(&mut self) {
         let RoleState::Leader(leader) = &self.role else { return };
         let matched = |replica: &ReplicaId| {
@@ -273,18 +280,18 @@
             leader.progress.get(replica).map_or(LogIndex::ZERO, |p| p.matched)
         };
         let Some(index) = self.voters().quorum_value(matched) else { return };
-        // Counting commits entries of the leader's own term only; those before come along. An
-        // entry of an earlier term that is on a quorum may still be replaced by a leader that
-        // does not have it.
+        // Counting replicas commits only entries of the leader's own term, and with them all
+        // entries before. An entry of an earlier term that a quorum holds may still be replaced
+        // by a leader that does not have it.
         if index > self.commit && self.log.term_at(index) == Some(self.term) {
             self.commit = index;
             if let RoleState::Leader(leader) = &mut self.role {
-                leader.commit_is_news = true;
+                leader.commit_advanced = true;
             }
         }
     }
 
-    /// Returns whether this node leads, knows what is committed, and no other can lead yet.
+    /// Returns whether this node leads, knows what is committed, and no other node can lead yet.
     pub fn holds_lease(&self, now: MonotonicTime) -> bool {
         let RoleState::Leader(leader) = &self.role else { return false };
         if self.commit < leader.first_index {
@@ -304,12 +311,14 @@
         sent.is_some_and(|(_, at)| now < *at + self.config.lease())
     }
 
-    /// Asks for a read of the present state; `token` comes back with the index that must be
-    /// applied before answering.
+    /// Requests a linearizable read.
+    ///
+    /// [`NodeOutput::reads`](crate::NodeOutput::reads) later holds `token` with the index that must
+    /// be applied before the read is answered.
     ///
     /// # Errors
     ///
-    /// Returns the leader where this node is not it.
+    /// Returns the known leader if this node does not lead.
     pub fn read(&mut self, now: MonotonicTime, token: u64) -> Result<(), NotLeader> {
         if self.holds_lease(now) {
             self.output.reads.push((token, self.commit));
@@ -317,10 +326,12 @@
         }
         let commit = self.commit;
         let leader_id = self.leader.clone();
-        let Some(leader) = self.leading() else { return Err(NotLeader { leader: leader_id }) };
-        // A round that starts after the question proves that this node still led then. The
-        // index is that of the leader's first entry at least: what was committed before is
-        // known only once that is.
+        let Some(leader) = self.leader_state_mut() else {
+            return Err(NotLeader { leader: leader_id });
+        };
+        // A quorum's answers to a round that starts after the request prove that this node still
+        // led at the request. The read index is at least that of the leader's first entry, because
+        // earlier commits are known only once that entry is committed.
         let index = commit.max(leader.first_index);
         leader.reads.push_back(PendingRead { token, round: leader.round + 1, index });
         leader.heartbeat_due = now;
@@ -328,6 +339,7 @@
         Ok(())
     }
 
+    /// Outputs the pending reads whose round a quorum acknowledged and whose index is committed.
     fn answer_reads(&mut self) {
         let RoleState::Leader(leader) = &self.role else { return };
         let acked = |replica: &ReplicaId| {
@@ -345,9 +357,9 @@
         }
     }
 
-    /// Gives up leadership in favour of an up-to-date voter, as a graceful shutdown does.
+    /// Transfers leadership to an up-to-date voter, for example at a graceful shutdown.
     ///
-    /// Returns whether there was one to hand over to.
+    /// Returns whether there was such a voter.
     pub fn transfer_leadership(&mut self, now: MonotonicTime) -> bool {
         let last = self.log.last_index();
         let RoleState::Leader(leader) = &self.role else { return false };
@@ -358,16 +370,18 @@
                     .last_contact
                     .is_some_and(|at| now.since(at) < self.config.election_timeout)
         };
-        let Some((heir, _)) = leader.progress.iter().find(ready) else { return false };
-        let heir = heir.clone();
-        // The lease ends here, before the heir can have one: this node steps down first.
+        let Some((successor, _)) = leader.progress.iter().find(ready) else { return false };
+        let successor = successor.clone();
+        // This node steps down first, so that its lease ends before the successor can hold one.
         self.step_down(now, self.term);
         let message = ConsensusMessage::HandOver { term: self.term };
-        self.send_now(&heir, message);
+        self.send_now(&successor, message);
         true
     }
 
-    /// Returns the progress of every other replica, as (replica, last entry synced there).
+    /// Returns every other replica with the last entry that is synced on it.
+    ///
+    /// The list is empty if this node does not lead.
     pub fn replica_progress(&self) -> Vec<(ReplicaId, LogIndex)> {
         match &self.role {
             RoleState::Leader(leader) => {
@@ -377,11 +391,11 @@
         }
     }
 
-    /// Changes which instances should be voters; the leader works towards it step by step.
+    /// Sets which instances should be voters. The leader changes the voter set one step at a time.
     ///
     /// # Errors
     ///
-    /// Returns the leader where this node is not it.
+    /// Returns the known leader if this node does not lead.
     pub fn set_wanted_voters(
         &mut self,
         wanted: impl IntoIterator<Item = InstanceId>,
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,25 +1,24 @@
-//! The replicated log: one order of commands on which a majority of the voters agrees.
+//! Replicates a log of commands, in an order on which a majority of the voters agrees.
 //!
 //! The algorithm is Raft with pre-vote, check-quorum, a leader lease, learners, single-step
 //! membership change and chunked snapshots. It is written sans-IO: [`ConsensusNode`] takes
-//! events with the present time and hands back a [`NodeOutput`] of what to persist, send and
-//! apply. Sockets, disks, clocks and threads belong to the caller, so the same code runs in the
-//! daemon and in a randomised run whose seed decides every delay, loss and crash.
+//! events with the current time and returns a [`NodeOutput`] of what to persist, send and apply.
+//! Sockets, disks, clocks and threads belong to the caller, so the same code runs in the daemon
+//! and in a randomised test whose seed decides every delay, loss and crash.
 //!
-//! Safety rests on a few rules that are easy to break by accident; each stands as a comment
-//! where it applies:
+//! Safety depends on the following rules. A comment marks each place where a rule applies:
 //!
-//! * what a message promises is synced before the message is sent ([`PersistBatch`]);
-//! * a voter that heard from a leader does not vote within the election timeout, which is what
-//!   lets a leader trust its lease, and why a restarted voter waits as long before it votes;
-//! * a replica is an instance *and* a disk ([`ReplicaId`]): one that lost its disk is another
-//!   replica, whose old votes and acknowledgements count no longer;
-//! * a new system forms only once all its first voters have met, so that a wiped voter can never
-//!   found a second one;
-//! * entries are committed by counting only in the leader's own term.
+//! * State that a message promises is synced before the message is sent ([`PersistBatch`]).
+//! * A voter that heard from a leader does not vote within the election timeout. The leader's
+//!   lease relies on this rule, and a restarted voter waits for the same time before it votes.
+//! * A replica is an instance *and* a disk ([`ReplicaId`]). An instance that lost its disk is
+//!   another replica, and its old votes and acknowledgements no longer count.
+//! * A new cluster forms only once all its first voters have met, so that wiped voters cannot
+//!   form a second cluster.
+//! * Counting replicas commits only entries of the leader's own term.
 //!
-//! Invariants are asserted in every build: a violated one stops the process, because going on
-//! would spread the damage to the other replicas.
+//! Invariants are asserted in every build. A violated invariant stops the process, because
+//! continuing could spread the corruption to the other replicas.
 
 mod election;
 mod follower;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,4 +1,4 @@
-//! The part of the log that is held in memory.
+//! Holds the log entries that are kept in memory.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -8,41 +8,41 @@
 
 use crate::replica::VoterSet;
 
-/// What an entry carries.
+/// The payload of a log entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryPayload {
     /// A command for the state machine, encoded by the caller.
     Command(Arc<[u8]>),
-    /// The voters from this entry on.
+    /// The voter set that is in force from this entry on.
     Voters(VoterSet),
-    /// Nothing; a new leader's first entry.
+    /// No content; the first entry of a new leader.
     Empty,
 }
 
 impl EntryPayload {
     fn size(&self) -> usize {
         match self {
-            Self::Command(bytes) => bytes.len() + ENTRY_OVERHEAD,
-            Self::Voters(_) | Self::Empty => ENTRY_OVERHEAD,
+            Self::Command(bytes) => bytes.len() + ENTRY_OVERHEAD_BYTES,
+            Self::Voters(_) | Self::Empty => ENTRY_OVERHEAD_BYTES,
         }
     }
 }
 
-/// Bytes counted for an entry beside its command.
-const ENTRY_OVERHEAD: usize = 64;
+/// Bytes counted for an entry in addition to its command.
+const ENTRY_OVERHEAD_BYTES: usize = 64;
 
-/// One entry.
+/// An entry of the replicated log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// Its place.
+    /// The position in the log.
     pub index: LogIndex,
     /// The term of the leader that proposed it.
     pub term: LeaderTerm,
-    /// Its content.
+    /// The payload.
     pub payload: EntryPayload,
 }
 
-/// Entries after a base, which a snapshot covers.
+/// The entries after a base index. A snapshot covers the log up to and including the base.
 #[derive(Debug, Default)]
 pub(crate) struct LogBuffer {
     base_index: LogIndex,
@@ -67,7 +67,7 @@
         self.entries.back().map_or(self.base_term, |entry| entry.term)
     }
 
-    /// Returns the term of an entry, or none where it is not held.
+    /// Returns the term of an entry, or none if the entry is not held and is not the base.
     pub(crate) fn term_at(&self, index: LogIndex) -> Option<LeaderTerm> {
         if index == self.base_index {
             return Some(self.base_term);
@@ -80,7 +80,7 @@
         self.entries.get(usize::try_from(position).ok()?)
     }
 
-    /// Returns entries from `first` on, up to a number of bytes but at least one if there is any.
+    /// Returns entries from `first` on, up to `max_bytes` but at least one entry if any exists.
     pub(crate) fn slice(&self, first: LogIndex, max_bytes: usize) -> Vec<LogEntry> {
         let mut bytes = 0;
         (first.0..=self.last_index().0)
@@ -98,17 +98,17 @@
     ///
     /// # Panics
     ///
-    /// Panics when the entry does not follow the last one.
+    /// Panics if the entry does not follow the last one or has an earlier term.
     pub(crate) fn push(&mut self, entry: LogEntry) {
-        assert_eq!(entry.index, self.last_index().next(), "the log has no gaps");
-        assert!(entry.term >= self.last_term(), "terms in the log never fall");
+        assert_eq!(entry.index, self.last_index().next(), "log entries must have no gaps");
+        assert!(entry.term >= self.last_term(), "terms in the log must not decrease");
         self.entries.push_back(entry);
     }
 
     /// Removes the entries from `index` on.
     pub(crate) fn truncate_from(&mut self, index: LogIndex) {
         let kept = index.0.saturating_sub(self.base_index.0 + 1);
-        self.entries.truncate(usize::try_from(kept).expect("a log that fits in memory"));
+        self.entries.truncate(usize::try_from(kept).expect("the log fits in memory"));
     }
 
     /// Drops the entries up to and including `index`.
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,4 +1,4 @@
-//! What replicas say to each other.
+//! Defines the messages between replicas.
 
 use std::collections::BTreeMap;
 
@@ -8,68 +8,69 @@
 use crate::log::LogEntry;
 use crate::replica::{DiskId, ReplicaId, VoterSet};
 
-/// A message.
+/// A message between replicas. Its encoding depends on the order of variants and fields.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConsensusMessage {
-    /// A fresh replica tells the other first voters which replicas it has met.
+    /// A fresh replica reports to the other first voters which replicas it has met.
     Forming {
         /// The disks of the first voters met so far, the sender's own among them.
         met: BTreeMap<InstanceId, DiskId>,
-        /// The first voters that the sender would form a system with; kept on its disk.
+        /// The first voters that the sender would form a cluster with; stored on its disk.
         first_voters: Vec<InstanceId>,
     },
-    /// The system exists already; this was its first set of voters.
+    /// The cluster already exists.
     Formed {
-        /// The first set.
+        /// The first voter set of the cluster.
         first: VoterSet,
     },
-    /// A replica that is no voter asks to become one.
+    /// A replica that is not a voter asks the leader to add it.
     JoinAsk,
-    /// Would you vote for me?
+    /// Asks whether the receiver would grant a vote (pre-vote request).
     PreVoteAsk {
         /// The term that the sender would start.
         term: LeaderTerm,
-        /// Its last entry.
+        /// The index of the sender's last entry.
         last_index: LogIndex,
         /// That entry's term.
         last_term: LeaderTerm,
     },
     /// The answer to [`ConsensusMessage::PreVoteAsk`].
     PreVoteAnswer {
-        /// The term asked about if granted, or else the sender's own.
+        /// The requested term if granted, otherwise the sender's term.
         term: LeaderTerm,
-        /// Whether the sender would.
+        /// Whether the sender would grant its vote.
         granted: bool,
     },
-    /// Vote for me.
+    /// Requests the receiver's vote.
     VoteAsk {
-        /// The term.
+        /// The candidate's term.
         term: LeaderTerm,
-        /// The candidate's last entry.
+        /// The index of the candidate's last entry.
         last_index: LogIndex,
         /// That entry's term.
         last_term: LeaderTerm,
-        /// Whether the leader itself handed over, so that its lease does not stand in the way.
+        /// Whether the leader transferred leadership to the candidate. Its lease then does not block
+        /// the vote.
         handed_over: bool,
     },
     /// The answer to [`ConsensusMessage::VoteAsk`].
     VoteAnswer {
         /// The sender's term.
         term: LeaderTerm,
-        /// Whether it voted for the receiver.
+        /// Whether the sender voted for the receiver.
         granted: bool,
     },
-    /// Entries from the leader; none in a mere heartbeat.
+    /// Entries from the leader; empty in a heartbeat.
     Append {
         /// The leader's term.
         term: LeaderTerm,
-        /// The entry before the first one sent.
+        /// The index of the entry before the first one sent.
         prev_index: LogIndex,
         /// That entry's term.
         prev_term: LeaderTerm,
         /// The entries.
         entries: Vec<LogEntry>,
-        /// What is committed.
+        /// The leader's commit index.
         commit: LogIndex,
         /// The heartbeat round, which the answer echoes.
         round: u64,
@@ -78,28 +79,29 @@
     AppendAnswer {
         /// The sender's term.
         term: LeaderTerm,
-        /// The round echoed.
+        /// The round of the message that is answered.
         round: u64,
-        /// Whether the entries followed what the sender has.
+        /// Whether the sender's log holds the entry before the first one sent.
         accepted: bool,
-        /// If accepted, the last entry known to be the leader's; or else where to try next.
+        /// If accepted, the last entry known to match the leader's log; otherwise the entry that the
+        /// leader should compare next.
         index: LogIndex,
     },
-    /// A piece of a snapshot.
+    /// A chunk of a snapshot.
     Snapshot {
         /// The leader's term.
         term: LeaderTerm,
-        /// The last entry covered.
+        /// The index of the last entry covered.
         index: LogIndex,
         /// That entry's term.
         last_term: LeaderTerm,
         /// The voters at that entry.
         voters: VoterSet,
-        /// Where the piece starts.
+        /// The offset of the chunk, in bytes.
         offset: u64,
-        /// The size of the whole.
+        /// The size of the whole snapshot, in bytes.
         total: u64,
-        /// The piece.
+        /// The chunk.
         bytes: Vec<u8>,
         /// The heartbeat round, which the answer echoes.
         round: u64,
@@ -108,16 +110,16 @@
     SnapshotAnswer {
         /// The sender's term.
         term: LeaderTerm,
-        /// The round echoed.
+        /// The round of the message that is answered.
         round: u64,
-        /// Which snapshot.
+        /// The index that identifies the snapshot.
         index: LogIndex,
-        /// Where the next piece should start.
+        /// The offset at which the next chunk should start.
         next_offset: u64,
-        /// Whether the whole is synced.
+        /// Whether the whole snapshot is synced.
         done: bool,
     },
-    /// The leader hands over; the receiver should stand for election at once.
+    /// The leader transfers leadership; the receiver should start an election at once.
     HandOver {
         /// The leader's term.
         term: LeaderTerm,
@@ -131,8 +133,8 @@
     pub from: ReplicaId,
     /// The receiver's instance.
     pub to: InstanceId,
-    /// The receiver's disk; absent while it is not known. A replica with another disk drops
-    /// the message.
+    /// The receiver's disk, or none if it is not known. A replica with another disk drops the
+    /// message.
     pub to_disk: Option<DiskId>,
     /// The message.
     pub message: ConsensusMessage,
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -1,4 +1,4 @@
-//! The node: its state, what it takes in and what it hands out.
+//! Implements the consensus node: its state, inputs and outputs.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,37 +18,39 @@
 use crate::message::{ConsensusMessage, Envelope};
 use crate::replica::{DiskId, ReplicaId, VoterSet};
 
-/// Checked parameters of a node.
+/// Validated parameters of a node.
 #[derive(Debug, Clone)]
 pub struct ConsensusConfig {
-    /// The least time without a leader before an election; at most twice this.
+    /// The minimum time without a leader before an election. Each timeout is drawn at random
+    /// between this value and twice this value.
     pub election_timeout: Duration,
-    /// Between heartbeats of a leader.
+    /// The interval between a leader's heartbeats.
     pub heartbeat_interval: Duration,
-    /// The most that two clocks differ in rate, in percent.
+    /// The maximum difference between the rates of two clocks, in percent.
     pub drift_percent: u32,
-    /// The most bytes of entries, or of a snapshot, in one message.
+    /// The maximum size of the entries or the snapshot chunk in one message, in bytes.
     pub message_bytes: usize,
-    /// The first voters, from the settings or agreed on by the daemons that have met. Empty on a
-    /// replica that must not found a system.
+    /// The first voters, from the settings or as agreed by the daemons that have met. Empty on a
+    /// replica that must not form a cluster.
     pub first_voters: Vec<InstanceId>,
-    /// Entries kept behind a snapshot for replicas that lag a little.
+    /// The number of entries before a snapshot that are kept for replicas that lag slightly.
     pub trailing_entries: u64,
-    /// Seeds the choice of election timeouts.
+    /// The seed of the random election timeouts.
     pub seed: u64,
 }
 
 impl ConsensusConfig {
-    /// Returns how long a leader may act on a round of heartbeats, counted from its sending.
+    /// Returns how long a leader may rely on an acknowledged heartbeat round, from its sending.
     ///
-    /// A follower that answered does not vote for another for `election` on its own clock. The
-    /// leader's clock may run slower by the drift, so its lease is shorter by that much.
+    /// A follower that answered does not vote for another replica for `election_timeout` on its
+    /// own clock. The leader's clock may run slower by `drift_percent`, so the lease is shorter by
+    /// that share.
     pub fn lease(&self) -> Duration {
         self.election_timeout * (100 - self.drift_percent) / 100
     }
 }
 
-/// A snapshot kept for replicas that lag.
+/// A snapshot of the state machine, kept in memory for replicas that lag.
 #[derive(Debug, PartialEq, Eq)]
 pub struct HeldSnapshot {
     /// The last entry covered.
@@ -57,18 +59,18 @@
     pub term: LeaderTerm,
     /// The voters at that entry.
     pub voters: VoterSet,
-    /// The state.
+    /// The encoded state.
     pub data: Vec<u8>,
 }
 
-/// What the node is at present.
+/// The current role of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NodeRole {
-    /// A fresh replica that has not met all first voters.
+    /// A fresh replica that has not met all first voters yet.
     Forming,
-    /// A replica that follows, or looks for, a leader.
+    /// A replica that follows a leader or waits for one.
     Follower,
-    /// A replica that asks whether an election makes sense.
+    /// A replica that runs a pre-vote.
     PreCandidate,
     /// A replica that stands for election.
     Candidate,
@@ -76,6 +78,7 @@
     Leader,
 }
 
+/// The current role with its state.
 #[derive(Debug)]
 pub(crate) enum RoleState {
     Forming { met: BTreeMap<InstanceId, DiskId> },
@@ -85,40 +88,40 @@
     Leader(Box<LeaderState>),
 }
 
-/// The call needs the leader.
+/// Error of a call that only the leader can serve.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NotLeader {
     /// The leader, if known.
     pub leader: Option<ReplicaId>,
 }
 
-/// What must be synced before some messages go out.
+/// Records that must be synced before certain messages are sent.
 #[derive(Debug, Default)]
 pub struct PersistBatch {
-    /// Names the batch; to be handed to [`ConsensusNode::persisted`] once it is synced.
+    /// Identifies the batch. The caller passes it to [`ConsensusNode::persisted`] after the sync.
     pub sequence: u64,
-    /// A snapshot, to be saved before the records, if there is one.
+    /// A snapshot that is saved before the records, if any.
     pub snapshot: Option<(SnapshotMeta, Arc<HeldSnapshot>)>,
     /// Records to append.
     pub records: Vec<LogRecord>,
-    /// What to send once all of that is synced.
+    /// Messages to send once the snapshot and the records are synced.
     pub send_after: Vec<Envelope>,
-    /// After the snapshot is saved, entries up to here are not needed any more.
+    /// The snapshot's index and the last entry that may be removed once the snapshot is saved.
     pub compact: Option<(LogIndex, LogIndex)>,
 }
 
 impl PersistBatch {
-    /// Writes batches in order and syncs them together. Only after that may their messages be
-    /// sent.
+    /// Writes batches in order and syncs them together. Their messages may be sent only after this
+    /// call returns.
     ///
     /// # Errors
     ///
-    /// Returns an error when something may not be durable; the store is of no use after that.
+    /// Returns an error if some data may not be durable. The store must not be used afterwards.
     pub fn write_group(store: &mut LogStore, group: &[Self]) -> Result<(), StorageError> {
         let mut records: Vec<LogRecord> = Vec::new();
         for batch in group {
             if let Some((meta, held)) = &batch.snapshot {
-                // Records before the snapshot are written first, in the order they were made.
+                // Records of earlier batches are written before the snapshot, to keep their order.
                 store.append(&std::mem::take(&mut records))?;
                 store.save_snapshot(meta, &held.data)?;
             }
@@ -132,32 +135,33 @@
     }
 }
 
-/// What the caller has to do now.
+/// Work that the caller must carry out.
 #[derive(Debug, Default)]
 pub struct NodeOutput {
-    /// Messages to send at once.
+    /// Messages to send immediately.
     pub send: Vec<Envelope>,
-    /// What to sync. Batches are to be synced in the order of their sequence.
+    /// The batch to sync. Batches must be synced in the order of their sequence.
     pub persist: Option<PersistBatch>,
-    /// A snapshot to load into the state machine before applying anything else.
+    /// A snapshot to load into the state machine before any entry is applied.
     pub restore: Option<Arc<HeldSnapshot>>,
     /// Entries to apply, in order.
     pub committed: Vec<LogEntry>,
-    /// Reads that may be answered once the state machine has applied the index.
+    /// Reads, as pairs of token and index, that may be answered once the index is applied.
     pub reads: Vec<(u64, LogIndex)>,
-    /// Reads that failed because leadership was lost.
+    /// Tokens of reads that failed because the node lost leadership.
     pub failed_reads: Vec<u64>,
 }
 
+/// The persisted identity of a replica. Its encoding depends on the order of fields.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ReplicaIdentity {
     pub(crate) disk: DiskId,
     pub(crate) first: Option<VoterSet>,
-    /// The first voters that this replica has told others it would form a system with.
+    /// The first voters that this replica has announced it would form a cluster with.
     pub(crate) chosen: Vec<InstanceId>,
 }
 
-/// One replica of the log.
+/// One replica of the replicated log.
 #[derive(Debug)]
 pub struct ConsensusNode {
     pub(crate) config: ConsensusConfig,
@@ -165,10 +169,10 @@
     pub(crate) term: LeaderTerm,
     pub(crate) vote: Option<ReplicaId>,
     pub(crate) first: Option<VoterSet>,
-    /// Replicas that may know the system, beside the voters known.
+    /// Instances, besides the known voters, that may belong to the cluster.
     pub(crate) contacts: Vec<InstanceId>,
     pub(crate) log: LogBuffer,
-    /// Sets of voters by the entry that brought them; the last one is in force.
+    /// Voter sets by the entry that introduced them. The last set is in force.
     pub(crate) voter_sets: Vec<(LogIndex, VoterSet)>,
     pub(crate) commit: LogIndex,
     pub(crate) applied: LogIndex,
@@ -177,25 +181,25 @@
     pub(crate) incoming: Option<IncomingSnapshot>,
     pub(crate) role: RoleState,
     pub(crate) leader: Option<ReplicaId>,
-    /// When a leader was last heard, or the node started, whichever is later.
-    pub(crate) contact: MonotonicTime,
+    /// The time of the last message from a leader, or of the node's start if that is later.
+    pub(crate) last_leader_contact: MonotonicTime,
     pub(crate) election_due: MonotonicTime,
     pub(crate) join_due: MonotonicTime,
     pub(crate) random: StdRng,
     pub(crate) output: NodeOutput,
-    /// The last entry of each batch that is not synced yet, by sequence.
+    /// The last entry of each batch that is not synced yet, by the batch's sequence.
     unsynced: BTreeMap<u64, LogIndex>,
     next_sequence: u64,
 }
 
 impl ConsensusNode {
-    /// Creates a node from what its store kept.
+    /// Creates a node from the state recovered from its store.
     ///
-    /// `fresh_disk` names the disk if the store was empty.
+    /// `fresh_disk` becomes the disk id if the store is empty.
     ///
     /// # Panics
     ///
-    /// Panics when the store holds something that this version did not write.
+    /// Panics if the store holds data that this version cannot decode.
     pub fn new(
         mut config: ConsensusConfig,
         instance: InstanceId,
@@ -206,13 +210,14 @@
         let identity = decode_identity(&recovered.hard.identity);
         let disk = identity.as_ref().map_or(fresh_disk, |identity| identity.disk);
         let first = identity.as_ref().and_then(|identity| identity.first.clone());
-        // A choice that others may have built on stands, whatever has been discovered since.
+        // Other replicas may rely on a persisted choice of first voters, so it takes precedence
+        // over the configured or discovered list.
         if let Some(chosen) = identity.as_ref().map(|i| &i.chosen).filter(|c| !c.is_empty()) {
             config.first_voters.clone_from(chosen);
         }
         let id = ReplicaId { instance, disk };
         let snapshot = recovered.snapshot.map(|(meta, data)| {
-            let voters = postcard::from_bytes(&meta.voters).expect("voters that were encoded here");
+            let voters = postcard::from_bytes(&meta.voters).expect("the stored voters decode");
             Arc::new(HeldSnapshot { index: meta.index, term: meta.term, voters, data })
         });
         let base =
@@ -230,7 +235,7 @@
             incoming: None,
             role: RoleState::Follower,
             leader: None,
-            contact: now,
+            last_leader_contact: now,
             election_due: now,
             join_due: now,
             output: NodeOutput { restore: snapshot.clone(), ..NodeOutput::default() },
@@ -243,13 +248,13 @@
         };
         node.recover_voters();
         for entry in recovered.entries {
-            let payload = postcard::from_bytes(&entry.payload).expect("an entry encoded here");
-            node.take_entry(LogEntry { index: entry.index, term: entry.term, payload });
+            let payload = postcard::from_bytes(&entry.payload).expect("the stored entry decodes");
+            node.append_to_log(LogEntry { index: entry.index, term: entry.term, payload });
         }
         node.synced = node.log.last_index();
         node.reset_election(now);
         if identity.is_none() {
-            node.persist_hard();
+            node.persist_hard_state();
         }
         if node.first.is_none() && node.voter_sets.is_empty() {
             node.start_forming();
@@ -257,6 +262,7 @@
         node
     }
 
+    /// Restores the voter set of the snapshot, or the first voter set if there is no snapshot.
     fn recover_voters(&mut self) {
         if let Some(snapshot) = &self.snapshot {
             self.voter_sets.push((snapshot.index, snapshot.voters.clone()));
@@ -265,12 +271,12 @@
         }
     }
 
-    /// Names replicas that may know the system, for one that was told of no first voters.
+    /// Sets the instances that may belong to the cluster, for a replica without first voters.
     pub fn set_contacts(&mut self, contacts: impl IntoIterator<Item = InstanceId>) {
         self.contacts = contacts.into_iter().filter(|c| *c != self.id.instance).collect();
     }
 
-    /// Lets time pass.
+    /// Advances time and performs the work that is due.
     pub fn tick(&mut self, now: MonotonicTime) {
         match &self.role {
             RoleState::Forming { .. } => self.tick_forming(now),
@@ -279,7 +285,7 @@
         }
     }
 
-    /// Takes in a message.
+    /// Handles a received message. Messages for another instance or disk are dropped.
     pub fn receive(&mut self, now: MonotonicTime, envelope: Envelope) {
         if envelope.to != self.id.instance || envelope.to_disk.is_some_and(|d| d != self.id.disk) {
             return;
@@ -307,7 +313,7 @@
             ConsensusMessage::AppendAnswer { term, round, accepted, index } => {
                 self.on_append_answer(now, &from, term, round, accepted.then_some(index), index);
             }
-            piece @ ConsensusMessage::Snapshot { .. } => self.on_snapshot(now, &from, piece),
+            chunk @ ConsensusMessage::Snapshot { .. } => self.on_snapshot(now, &from, chunk),
             ConsensusMessage::SnapshotAnswer { term, round, index, next_offset, done } => {
                 self.on_snapshot_answer(now, &from, term, round, (index, next_offset, done));
             }
@@ -315,12 +321,12 @@
         }
     }
 
-    /// Proposes a command; it is sent with the next [`ConsensusNode::take_output`], together
-    /// with all others proposed before that.
+    /// Proposes a command. The next [`ConsensusNode::take_output`] sends all commands proposed
+    /// until then together.
     ///
     /// # Errors
     ///
-    /// Returns the leader where this node is not it.
+    /// Returns the known leader if this node does not lead.
     pub fn propose(&mut self, command: Arc<[u8]>) -> Result<(LogIndex, LeaderTerm), NotLeader> {
         self.propose_payload(EntryPayload::Command(command))
     }
@@ -338,7 +344,7 @@
         Ok((index, self.term))
     }
 
-    /// Notes that a batch is synced.
+    /// Records that all batches up to `sequence` are synced.
     pub fn persisted(&mut self, sequence: u64) {
         while let Some(first) = self.unsynced.first_entry().filter(|e| *e.key() <= sequence) {
             let index = first.remove();
@@ -347,29 +353,30 @@
         self.advance_commit();
     }
 
-    /// Takes over a snapshot of the state machine, made after applying exactly `index`.
+    /// Stores a snapshot of the state machine, taken after exactly the entries up to `index` were
+    /// applied.
     ///
     /// # Panics
     ///
-    /// Panics when that entry was not handed out for applying yet.
+    /// Panics if the entry was not output for application yet.
     pub fn take_snapshot(&mut self, index: LogIndex, data: Vec<u8>) {
-        assert!(index <= self.applied, "a snapshot covers applied entries only");
+        assert!(index <= self.applied, "a snapshot must cover only applied entries");
         let Some(term) = self.log.term_at(index) else { return };
         let voters = self.voters_at(index).clone();
         let held = Arc::new(HeldSnapshot { index, term, voters, data });
         let keep_after = LogIndex(index.0.saturating_sub(self.config.trailing_entries));
         self.log.compact_to(keep_after);
-        self.drop_old_sets();
+        self.drop_old_voter_sets();
         self.snapshot = Some(Arc::clone(&held));
         let batch = self.batch();
-        batch.snapshot = Some((meta_of(&held), held));
+        batch.snapshot = Some((snapshot_meta(&held), held));
         batch.compact = Some((index, keep_after));
     }
 
-    /// Hands out everything that is to be done since the last call.
+    /// Returns all work that has accumulated since the last call.
     pub fn take_output(&mut self) -> NodeOutput {
         self.send_entries();
-        self.hand_out_committed();
+        self.output_committed();
         let mut output = std::mem::take(&mut self.output);
         if let Some(batch) = &mut output.persist {
             batch.sequence = self.next_sequence;
@@ -379,9 +386,10 @@
         output
     }
 
-    fn hand_out_committed(&mut self) {
-        // Only what is synced here is applied here. Otherwise a crash could take this replica
-        // back behind a state that it has already shown.
+    /// Outputs the committed entries that are synced on this replica.
+    fn output_committed(&mut self) {
+        // Only entries that are synced on this replica are applied on it. Otherwise a crash could
+        // take the replica back to a state before one that it has already exposed.
         let ready = self.commit.min(self.synced);
         while self.applied < ready {
             let index = self.applied.next();
@@ -391,12 +399,12 @@
         }
     }
 
-    /// Returns this replica.
+    /// Returns the id of this replica.
     pub fn id(&self) -> &ReplicaId {
         &self.id
     }
 
-    /// Returns the present role.
+    /// Returns the current role.
     pub fn role(&self) -> NodeRole {
         match self.role {
             RoleState::Forming { .. } => NodeRole::Forming,
@@ -412,27 +420,27 @@
         self.leader.as_ref()
     }
 
-    /// Returns the present term.
+    /// Returns the current term.
     pub fn term(&self) -> LeaderTerm {
         self.term
     }
 
-    /// Returns the last committed entry.
+    /// Returns the index of the last committed entry.
     pub fn commit(&self) -> LogIndex {
         self.commit
     }
 
-    /// Returns the last entry.
+    /// Returns the index of the last entry.
     pub fn last_index(&self) -> LogIndex {
         self.log.last_index()
     }
 
-    /// Returns the last entry that is covered by a snapshot or older.
+    /// Returns the index of the last entry covered by the snapshot, or zero without a snapshot.
     pub fn base_index(&self) -> LogIndex {
         self.snapshot.as_ref().map_or(LogIndex::ZERO, |snapshot| snapshot.index)
     }
 
-    /// Returns the voters in force.
+    /// Returns the voter set in force.
     pub fn voters(&self) -> &VoterSet {
         static NONE: VoterSet = VoterSet {
             voters: std::collections::BTreeSet::new(),
@@ -442,59 +450,63 @@
         self.voter_sets.last().map_or(&NONE, |(_, set)| set)
     }
 
+    /// Returns the voter set that was in force at an entry.
     pub(crate) fn voters_at(&self, index: LogIndex) -> &VoterSet {
         let at = self.voter_sets.iter().rfind(|(from, _)| *from <= index);
         at.map_or_else(|| self.voters(), |(_, set)| set)
     }
 
-    pub(crate) fn drop_old_sets(&mut self) {
+    /// Drops voter sets that were replaced at or before the log's base.
+    pub(crate) fn drop_old_voter_sets(&mut self) {
         let base = self.log.base_index();
         let needed = self.voter_sets.iter().rposition(|(from, _)| *from <= base).unwrap_or(0);
         self.voter_sets.drain(..needed);
     }
 
+    /// Returns the batch that collects the records and messages of the next output.
     pub(crate) fn batch(&mut self) -> &mut PersistBatch {
         self.output.persist.get_or_insert_default()
     }
 
-    /// Adds an entry to the log and to what is to be synced.
+    /// Appends an entry to the log and to the batch to sync.
     pub(crate) fn store_entry(&mut self, entry: LogEntry) {
-        let bytes = postcard::to_stdvec(&entry.payload).expect("a payload always serialises");
+        let bytes = postcard::to_stdvec(&entry.payload).expect("a payload serialises");
         let record = StoredEntry { index: entry.index, term: entry.term, payload: bytes.into() };
         self.batch().records.push(LogRecord::Entry(record));
-        self.take_entry(entry);
+        self.append_to_log(entry);
     }
 
-    fn take_entry(&mut self, entry: LogEntry) {
+    fn append_to_log(&mut self, entry: LogEntry) {
         if let EntryPayload::Voters(set) = &entry.payload {
             self.voter_sets.push((entry.index, set.clone()));
         }
         self.log.push(entry);
     }
 
-    /// Removes entries that another leader replaced.
+    /// Removes the entries from `index` on, which another leader replaced.
     ///
     /// # Panics
     ///
-    /// Panics when one of them is committed: then two leaders committed different entries at one
-    /// place, and nothing this replica says could be trusted any more.
+    /// Panics if one of the entries is committed. In that case two leaders committed different
+    /// entries at one index, and no state of this replica can be trusted.
     pub(crate) fn truncate_from(&mut self, index: LogIndex) {
         assert!(index > self.commit, "committed entry {index} would be replaced");
         self.log.truncate_from(index);
         let last = self.log.last_index();
         self.voter_sets.retain(|(from, _)| *from <= last);
         self.synced = self.synced.min(last);
-        // A batch synced later must not vouch for entries that it never held.
+        // A batch that is synced later must not mark entries as synced that it does not contain.
         self.unsynced.values_mut().for_each(|bound| *bound = (*bound).min(last));
     }
 
-    /// Forgets which entries after `index` are synced or on their way to be.
-    pub(crate) fn forget_unsynced(&mut self, index: LogIndex) {
+    /// Discards the record of which entries after `index` are synced or being synced.
+    pub(crate) fn discard_synced_after(&mut self, index: LogIndex) {
         self.synced = index;
         self.unsynced.values_mut().for_each(|bound| *bound = (*bound).min(index));
     }
 
-    pub(crate) fn persist_hard(&mut self) {
+    /// Adds the term, the vote and the replica's identity to the batch to sync.
+    pub(crate) fn persist_hard_state(&mut self) {
         let vote = self.vote.as_ref().map(|v| postcard::to_stdvec(v).expect("a vote serialises"));
         let identity = ReplicaIdentity {
             disk: self.id.disk,
@@ -510,35 +522,37 @@
     ///
     /// # Panics
     ///
-    /// Panics when the term is not later: a vote forgotten within a term could be given twice.
+    /// Panics if the term is not later. Entering the same term would clear its vote, so that the
+    /// replica could vote twice in it.
     pub(crate) fn enter_term(&mut self, term: LeaderTerm) {
-        assert!(term > self.term, "terms only rise");
+        assert!(term > self.term, "a new term must be later than the current one");
         self.term = term;
         self.vote = None;
-        self.persist_hard();
+        self.persist_hard_state();
     }
 
+    /// Draws a new election timeout that starts now.
     pub(crate) fn reset_election(&mut self, now: MonotonicTime) {
-        let least =
-            u64::try_from(self.config.election_timeout.as_micros()).expect("a short timeout");
-        let timeout = self.random.random_range(least..2 * least);
+        let min_timeout = u64::try_from(self.config.election_timeout.as_micros())
+            .expect("the election timeout fits in 64 bits");
+        let timeout = self.random.random_range(min_timeout..2 * min_timeout);
         self.election_due = now + Duration::from_micros(timeout);
     }
 
-    /// Sends a message that promises nothing that is not synced.
+    /// Sends a message at once. It must not promise any state that is not synced.
     pub(crate) fn send_now(&mut self, to: &ReplicaId, message: ConsensusMessage) {
         let envelope = self.envelope(to, message);
         self.output.send.push(envelope);
     }
 
-    /// Sends a message after everything decided so far is synced.
+    /// Sends a message after all state changed so far is synced.
     pub(crate) fn send_synced(&mut self, to: &ReplicaId, message: ConsensusMessage) {
         let envelope = self.envelope(to, message);
         if self.output.persist.is_none() && self.unsynced.is_empty() {
             self.output.send.push(envelope);
         } else {
-            // An earlier batch may still be under way, so this one waits behind it even if it
-            // has nothing to write itself.
+            // An earlier batch may still be in progress. The message waits in a batch behind it,
+            // even if that batch has no records.
             self.batch().send_after.push(envelope);
         }
     }
@@ -548,8 +562,8 @@
     }
 }
 
-pub(crate) fn meta_of(held: &HeldSnapshot) -> SnapshotMeta {
-    let voters = postcard::to_stdvec(&held.voters).expect("voters always serialise");
+pub(crate) fn snapshot_meta(held: &HeldSnapshot) -> SnapshotMeta {
+    let voters = postcard::to_stdvec(&held.voters).expect("voters serialise");
     SnapshotMeta { index: held.index, term: held.term, voters }
 }
 
@@ -557,5 +571,5 @@
     if bytes.is_empty() {
         return None;
     }
-    Some(postcard::from_bytes(bytes).expect("an identity that was encoded here"))
+    Some(postcard::from_bytes(bytes).expect("the stored identity decodes"))
 }
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -1,4 +1,4 @@
-//! What a leader knows of one other replica.
+//! Tracks a leader's replication progress to one other replica.
 
 use std::sync::Arc;
 
@@ -6,21 +6,21 @@
 
 use crate::node::HeldSnapshot;
 
-/// Append messages under way to one replica at a time.
-pub(crate) const MAX_IN_FLIGHT: usize = 16;
+/// The maximum number of unanswered append messages to one replica.
+pub(crate) const MAX_IN_FLIGHT_APPENDS: usize = 16;
 
-/// How entries reach a replica.
+/// How entries are sent to a replica.
 #[derive(Debug)]
 pub(crate) enum SendMode {
-    /// Its log is being compared, one message at a time.
+    /// The replica's log is compared with the leader's, one message at a time.
     Probe,
-    /// Entries are sent ahead of the answers.
+    /// Entries are sent without waiting for answers to earlier ones.
     Pipeline,
-    /// It is too far behind and receives a snapshot, one piece at a time.
+    /// The replica lags too far behind and receives a snapshot, one chunk at a time.
     Snapshot { held: Arc<HeldSnapshot>, offset: u64 },
 }
 
-/// One replica as its leader sees it.
+/// The replication state of one replica, as known to its leader.
 #[derive(Debug)]
 pub(crate) struct ReplicaProgress {
     pub(crate) next: LogIndex,
@@ -43,15 +43,16 @@
         }
     }
 
-    /// Returns whether another append may be sent now.
+    /// Returns whether another message with entries may be sent now.
     pub(crate) fn may_send(&self) -> bool {
         match self.mode {
             SendMode::Probe => self.in_flight == 0,
-            SendMode::Pipeline => self.in_flight < MAX_IN_FLIGHT,
+            SendMode::Pipeline => self.in_flight < MAX_IN_FLIGHT_APPENDS,
             SendMode::Snapshot { .. } => false,
         }
     }
 
+    /// Records that the replica holds the entries up to `index`.
     pub(crate) fn accepted(&mut self, index: LogIndex) {
         self.matched = self.matched.max(index);
         self.next = self.next.max(self.matched.next());
@@ -61,10 +62,12 @@
         }
     }
 
+    /// Records a refused append and resumes after `hint`.
     pub(crate) fn rejected(&mut self, hint: LogIndex) {
         self.in_flight = 0;
         if !matches!(self.mode, SendMode::Snapshot { .. }) {
-            // What was acknowledged once is synced there, so a late refusal cannot take it back.
+            // Acknowledged entries are synced on the replica, so a delayed refusal does not move
+            // the position before them.
             self.next = hint.next().min(self.next).max(self.matched.next());
             self.mode = SendMode::Probe;
         }
--- a/crates/consensus/src/reconcile.rs
+++ b/crates/consensus/src/reconcile.rs
@@ -1,9 +1,10 @@
-//! Brings the voters in line with the wanted ones, one replica at a time.
+//! Changes the voter set towards the wanted voters, one replica at a time.
 //!
-//! Any majority before a step and any majority after it have a replica in common as long as a
-//! step adds or removes one voter. A replaced disk therefore takes three steps: the new replica
-//! learns, the old one is removed, the new one is promoted. It is promoted only once it has
-//! caught up, so that it never counts in a quorum before it holds what the quorum vouches for.
+//! A step adds or removes one voter, so any majority before it and any majority after it have a
+//! replica in common. The replacement of a disk therefore takes three steps: the new replica
+//! becomes a learner, the old replica is removed, and the new replica is promoted. A learner is
+//! promoted only once it has caught up, so that it does not count in a quorum before it holds the
+//! entries that the quorum committed.
 
 use oriolepass_units::{InstanceId, LogIndex, MonotonicTime};
 
@@ -12,24 +13,24 @@
 use crate::progress::ReplicaProgress;
 use crate::replica::{ReplicaId, VoterSet};
 
-/// How far behind the leader's last entry a learner may be when it is promoted.
-const CAUGHT_UP_WITHIN: u64 = 64;
+/// The maximum number of entries by which a learner may lag the leader when it is promoted.
+const MAX_PROMOTION_LAG_ENTRIES: u64 = 64;
 
 impl ConsensusNode {
     pub(crate) fn on_join_ask(&mut self, now: MonotonicTime, from: ReplicaId) {
-        if let Some(leader) = self.leading() {
-            leader.asked.insert(from.instance.clone(), (from, now));
+        if let Some(leader) = self.leader_state_mut() {
+            leader.join_requests.insert(from.instance.clone(), (from, now));
         }
     }
 
-    /// Takes the next step, if there is one and the last one is committed.
+    /// Proposes the next step, if there is one and the previous step is committed.
     pub(crate) fn reconcile(&mut self, now: MonotonicTime) {
-        self.match_progress();
+        self.update_progress_set();
         if !self.may_change_voters() {
             return;
         }
         if !self.voters().is_voter(&self.id) {
-            // The set without this leader is committed, so its work is done.
+            // The voter set without this leader is committed, so the leader steps down.
             self.step_down(now, self.term);
             return;
         }
@@ -39,38 +40,41 @@
             .or_else(|| self.next_voter(now));
         if let Some(set) = step {
             self.propose_payload(EntryPayload::Voters(set)).expect("this node leads");
-            self.match_progress();
+            self.update_progress_set();
         }
     }
 
-    /// One step at a time: two uncommitted ones could have majorities without a common replica.
-    /// And none before the leader's first entry is committed, since an earlier leader's step
-    /// may still be under way.
+    /// Returns whether a step may be proposed now.
+    ///
+    /// A step waits for the previous one to be committed, because two uncommitted steps could have
+    /// majorities without a common replica. It also waits for the leader's first entry to be
+    /// committed, because a step of an earlier leader may still be uncommitted.
     fn may_change_voters(&self) -> bool {
         let RoleState::Leader(leader) = &self.role else { return false };
         let settled = self.voter_sets.last().is_some_and(|(from, _)| *from <= self.commit);
         settled && self.commit >= leader.first_index
     }
 
-    /// Keeps the list of replicas sent to in line with the set in force.
-    fn match_progress(&mut self) {
-        let wanted: Vec<ReplicaId> =
+    /// Updates the set of replicas that receive entries to match the voter set in force.
+    fn update_progress_set(&mut self) {
+        let wanted_replicas: Vec<ReplicaId> =
             self.voters().replicas().filter(|r| **r != self.id).cloned().collect();
         let next = self.log.last_index().next();
-        let Some(leader) = self.leading() else { return };
-        leader.progress.retain(|replica, _| wanted.contains(replica));
-        for replica in wanted {
+        let Some(leader) = self.leader_state_mut() else { return };
+        leader.progress.retain(|replica, _| wanted_replicas.contains(replica));
+        for replica in wanted_replicas {
             leader.progress.entry(replica).or_insert_with(|| ReplicaProgress::new(next));
         }
     }
 
-    /// Adds a replica that asked, of an instance that should vote.
+    /// Returns the voter set with a new learner: a replica of a wanted instance that asked to join.
     fn next_learner(&self, now: MonotonicTime) -> Option<VoterSet> {
         let RoleState::Leader(leader) = &self.role else { return None };
         let set = self.voters();
-        let fresh = |asked: &MonotonicTime| now.since(*asked) < self.config.election_timeout * 3;
-        let (replica, _) = leader.asked.values().find(|(replica, asked)| {
-            fresh(asked)
+        let is_recent =
+            |asked_at: &MonotonicTime| now.since(*asked_at) < self.config.election_timeout * 3;
+        let (replica, _) = leader.join_requests.values().find(|(replica, asked_at)| {
+            is_recent(asked_at)
                 && set.wanted.contains(&replica.instance)
                 && !set.replicas().any(|known| known == replica)
         })?;
@@ -82,13 +86,13 @@
         Some(next)
     }
 
-    /// Removes a voter whose successor is ready, or that nobody wants any more.
+    /// Returns the voter set without a voter that has a caught-up replacement or is not wanted.
     fn next_removal(&self, now: MonotonicTime) -> Option<VoterSet> {
         let set = self.voters();
         let ready = |instance: &InstanceId| {
             set.learners.iter().any(|l| l.instance == *instance && self.caught_up(now, l))
         };
-        let successor_waits = set
+        let learner_ready = set
             .learners
             .iter()
             .any(|learner| set.wanted.contains(&learner.instance) && self.caught_up(now, learner));
@@ -96,20 +100,20 @@
         let unwanted = || {
             let full = set.wanted.iter().all(|w| set.voters.iter().any(|v| v.instance == *w));
             let removable = |voter: &&ReplicaId| !set.wanted.contains(&voter.instance);
-            set.voters.iter().find(removable).filter(|_| full || successor_waits)
+            set.voters.iter().find(removable).filter(|_| full || learner_ready)
         };
-        let leaver = replaced.or_else(unwanted)?;
+        let removed = replaced.or_else(unwanted)?;
         let mut next = set.clone();
-        next.voters.remove(leaver);
-        (next.voters.len() >= next.quorum() && self.quorum_answers(now, &next)).then_some(next)
+        next.voters.remove(removed);
+        (next.voters.len() >= next.quorum() && self.is_quorum_reachable(now, &next)).then_some(next)
     }
 
-    /// Promotes a learner that has caught up.
+    /// Returns the voter set with a caught-up learner promoted to voter.
     fn next_voter(&self, now: MonotonicTime) -> Option<VoterSet> {
         let set = self.voters();
         let learner = set.learners.iter().find(|learner| {
-            let twin = set.voters.iter().any(|voter| voter.instance == learner.instance);
-            set.wanted.contains(&learner.instance) && !twin && self.caught_up(now, learner)
+            let has_voter = set.voters.iter().any(|voter| voter.instance == learner.instance);
+            set.wanted.contains(&learner.instance) && !has_voter && self.caught_up(now, learner)
         })?;
         let mut next = set.clone();
         next.learners.remove(learner);
@@ -117,11 +121,13 @@
         Some(next)
     }
 
+    /// Returns whether a replica has caught up and was heard from within the election timeout.
     fn caught_up(&self, now: MonotonicTime, replica: &ReplicaId) -> bool {
         let RoleState::Leader(leader) = &self.role else { return false };
-        let enough = LogIndex(self.log.last_index().0.saturating_sub(CAUGHT_UP_WITHIN));
+        let min_matched =
+            LogIndex(self.log.last_index().0.saturating_sub(MAX_PROMOTION_LAG_ENTRIES));
         leader.progress.get(replica).is_some_and(|progress| {
-            progress.matched >= enough
+            progress.matched >= min_matched
                 && progress.matched >= leader.first_index
                 && progress
                     .last_contact
@@ -129,10 +135,11 @@
         })
     }
 
-    /// Returns whether a quorum of `set` answers now, so that a step towards it cannot stall.
-    fn quorum_answers(&self, now: MonotonicTime, set: &VoterSet) -> bool {
+    /// Returns whether a quorum of `set` was heard from within the election timeout, so that a step
+    /// to `set` can be committed.
+    fn is_quorum_reachable(&self, now: MonotonicTime, set: &VoterSet) -> bool {
         let RoleState::Leader(leader) = &self.role else { return false };
-        let answers = |replica: &&ReplicaId| {
+        let is_reachable = |replica: &&ReplicaId| {
             **replica == self.id
                 || leader.progress.get(*replica).is_some_and(|progress| {
                     progress
@@ -140,6 +147,6 @@
                         .is_some_and(|at| now.since(at) < self.config.election_timeout)
                 })
         };
-        set.voters.iter().filter(answers).count() >= set.quorum()
+        set.voters.iter().filter(is_reachable).count() >= set.quorum()
     }
 }
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -1,4 +1,4 @@
-//! Replicas and the set of voters.
+//! Defines replica ids and the voter set.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -6,7 +6,7 @@
 use oriolepass_units::InstanceId;
 use serde::{Deserialize, Serialize};
 
-/// Identifies a data folder; drawn at random when the folder is first used.
+/// Identifies a data folder. The id is drawn at random when the folder is first used.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -14,14 +14,14 @@
 
 /// One replica of the log: an instance together with its disk.
 ///
-/// An instance that comes back with an empty disk is another replica. It has forgotten its
-/// votes and its entries, so counting it as the old one could elect two leaders in one term or
-/// lose a committed entry.
+/// An instance that returns with an empty disk is another replica. It has lost its votes and
+/// entries, so counting it as the old replica could elect two leaders in one term or lose a
+/// committed entry.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaId {
-    /// The instance.
+    /// The instance that runs the replica.
     pub instance: InstanceId,
-    /// Its disk.
+    /// The disk that stores the replica.
     pub disk: DiskId,
 }
 
@@ -31,29 +31,31 @@
     }
 }
 
-/// Who votes, who learns, and which instances operators want as voters.
+/// The voters, the learners, and the instances that operators want as voters.
+///
+/// A learner receives the log before it is promoted to voter.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterSet {
     /// The replicas that count in a quorum.
     pub voters: BTreeSet<ReplicaId>,
-    /// The replicas that receive the log and count in no quorum.
+    /// The replicas that receive the log but do not count in a quorum.
     pub learners: BTreeSet<ReplicaId>,
-    /// The instances that should be voters; the leader works towards it step by step.
+    /// The instances that should be voters. The leader changes the set one step at a time.
     pub wanted: BTreeSet<InstanceId>,
 }
 
 impl VoterSet {
-    /// Returns how many voters make a quorum.
+    /// Returns the number of voters in a quorum.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Returns whether a replica votes.
+    /// Returns whether a replica is a voter.
     pub fn is_voter(&self, replica: &ReplicaId) -> bool {
         self.voters.contains(replica)
     }
 
-    /// Returns voters and learners.
+    /// Returns all voters and learners.
     pub fn replicas(&self) -> impl Iterator<Item = &ReplicaId> {
         self.voters.iter().chain(&self.learners)
     }
