--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -192,7 +192,8 @@
         }
     }
 
-    /// Becomes a follower without a known leader, in `term` or in the current term if that is later.
+    /// Becomes a follower without a known leader, in `term` or in the current term if that is
+    /// later.
     ///
     /// A replica that is still forming stays in that role.
     pub(crate) fn step_down(&mut self, now: MonotonicTime, term: LeaderTerm) {
--- a/crates/consensus/src/follower.rs
+++ b/crates/consensus/src/follower.rs
@@ -17,7 +17,8 @@
 ///
 /// The refused message may carry a round of an earlier term, and rounds restart in every term. If
 /// the answer echoed that round, a re-elected leader would take it for an acknowledgement of a
-/// round that it has not sent yet, and would count this replica for its lease and reads indefinitely.
+/// round that it has not sent yet, and would count this replica for its lease and reads
+/// indefinitely.
 const NO_ROUND: u64 = 0;
 
 /// A snapshot of which some chunks have been received.
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -49,8 +49,8 @@
         last_index: LogIndex,
         /// That entry's term.
         last_term: LeaderTerm,
-        /// Whether the leader transferred leadership to the candidate. Its lease then does not block
-        /// the vote.
+        /// Whether the leader transferred leadership to the candidate. Its lease then does not
+        /// block the vote.
         handed_over: bool,
     },
     /// The answer to [`ConsensusMessage::VoteAsk`].
@@ -83,8 +83,8 @@
         round: u64,
         /// Whether the sender's log holds the entry before the first one sent.
         accepted: bool,
-        /// If accepted, the last entry known to match the leader's log; otherwise the entry that the
-        /// leader should compare next.
+        /// If accepted, the last entry known to match the leader's log; otherwise the entry that
+        /// the leader should compare next.
         index: LogIndex,
     },
     /// A chunk of a snapshot.
--- a/crates/consensus/tests/forming.rs
+++ b/crates/consensus/tests/forming.rs
@@ -1,4 +1,4 @@
-//! Exactly one system forms, also from lists of first voters that differ.
+//! Tests that at most one cluster forms, even if the lists of first voters differ.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -20,13 +20,13 @@
     numbers.iter().map(|number| name(*number)).collect()
 }
 
-/// Nodes on disks in memory, whose messages arrive at once.
-struct Founders {
+/// Nodes on in-memory disks whose messages arrive immediately.
+struct FormingCluster {
     nodes: BTreeMap<InstanceId, (ConsensusNode, LogStore, FakeDisk)>,
     now: MonotonicTime,
 }
 
-impl Founders {
+impl FormingCluster {
     fn new() -> Self {
         Self { nodes: BTreeMap::new(), now: MonotonicTime(1) }
     }
@@ -79,7 +79,7 @@
         !self.voters(number).is_empty()
     }
 
-    /// Returns the voters of the system that a node belongs to.
+    /// Returns the voters of the cluster that a node belongs to, or none before it has formed.
     fn voters(&self, number: usize) -> BTreeSet<InstanceId> {
         let (node, _, _) = &self.nodes[&name(number)];
         node.voters().voters.iter().map(|voter| voter.instance.clone()).collect()
@@ -92,49 +92,52 @@
 }
 
 #[test]
-fn one_list_forms_one_system() {
-    let mut founders = Founders::new();
-    (0..3).for_each(|number| founders.start(number, &[0, 1, 2], FakeDisk::default()));
-    founders.run(200);
-    assert_eq!(founders.leaders(), 1);
+fn identical_first_voter_lists_form_one_cluster() {
+    let mut cluster = FormingCluster::new();
+    (0..3).for_each(|number| cluster.start(number, &[0, 1, 2], FakeDisk::default()));
+    cluster.run(200);
+    assert_eq!(cluster.leaders(), 1);
 }
 
+/// Guards against a replica on two lists becoming a member of two clusters.
 #[test]
-fn lists_that_overlap_never_form_two_systems() {
-    let mut founders = Founders::new();
-    founders.start(0, &[0, 1, 2], FakeDisk::default());
-    founders.start(1, &[0, 1, 2], FakeDisk::default());
-    founders.start(2, &[2, 3, 4], FakeDisk::default());
-    founders.start(3, &[2, 3, 4], FakeDisk::default());
-    founders.start(4, &[2, 3, 4], FakeDisk::default());
-    founders.run(400);
-    assert_eq!(founders.leaders(), 1);
-    // The first two lack the third, which tells them of the system that it is in.
+fn overlapping_first_voter_lists_form_only_one_cluster() {
+    let mut cluster = FormingCluster::new();
+    cluster.start(0, &[0, 1, 2], FakeDisk::default());
+    cluster.start(1, &[0, 1, 2], FakeDisk::default());
+    cluster.start(2, &[2, 3, 4], FakeDisk::default());
+    cluster.start(3, &[2, 3, 4], FakeDisk::default());
+    cluster.start(4, &[2, 3, 4], FakeDisk::default());
+    cluster.run(400);
+    assert_eq!(cluster.leaders(), 1);
+    // The first two nodes cannot form without the third, which informs them of its cluster.
     let formed: BTreeSet<InstanceId> = names(&[2, 3, 4]).into_iter().collect();
-    (0..5).for_each(|number| assert_eq!(founders.voters(number), formed, "{number}"));
+    (0..5).for_each(|number| assert_eq!(cluster.voters(number), formed, "{number}"));
 }
 
+/// Guards against a replica that announces one list of first voters, restarts with another list,
+/// and so lets a second cluster form.
 #[test]
-fn a_choice_that_was_named_stands_after_a_restart() {
-    let mut founders = Founders::new();
-    founders.start(0, &[0, 1, 2], FakeDisk::default());
-    founders.start(2, &[0, 1, 2], FakeDisk::default());
-    // It names its choice to the others, and forgets everything that is not on its disk.
-    founders.run(20);
-    founders.restart(2, &[2, 3, 4]);
-    founders.start(3, &[2, 3, 4], FakeDisk::default());
-    founders.start(4, &[2, 3, 4], FakeDisk::default());
-    founders.run(200);
-    assert!(!founders.has_formed(3) && !founders.has_formed(4), "a second system would form");
-    founders.start(1, &[0, 1, 2], FakeDisk::default());
-    founders.run(200);
-    assert!(founders.has_formed(0) && founders.has_formed(2));
+fn announced_first_voters_are_kept_after_a_restart() {
+    let mut cluster = FormingCluster::new();
+    cluster.start(0, &[0, 1, 2], FakeDisk::default());
+    cluster.start(2, &[0, 1, 2], FakeDisk::default());
+    // Node 2 announces its first voters, then restarts and loses all state that is not on its disk.
+    cluster.run(20);
+    cluster.restart(2, &[2, 3, 4]);
+    cluster.start(3, &[2, 3, 4], FakeDisk::default());
+    cluster.start(4, &[2, 3, 4], FakeDisk::default());
+    cluster.run(200);
+    assert!(!cluster.has_formed(3) && !cluster.has_formed(4), "a second cluster formed");
+    cluster.start(1, &[0, 1, 2], FakeDisk::default());
+    cluster.run(200);
+    assert!(cluster.has_formed(0) && cluster.has_formed(2));
 }
 
 #[test]
-fn a_replica_without_first_voters_founds_nothing() {
-    let mut founders = Founders::new();
-    founders.start(0, &[], FakeDisk::default());
-    founders.run(400);
-    assert!(!founders.has_formed(0));
+fn a_replica_without_first_voters_forms_no_cluster() {
+    let mut cluster = FormingCluster::new();
+    cluster.start(0, &[], FakeDisk::default());
+    cluster.run(400);
+    assert!(!cluster.has_formed(0));
 }
--- a/crates/consensus/tests/harness/checks.rs
+++ b/crates/consensus/tests/harness/checks.rs
@@ -1,4 +1,4 @@
-//! The invariants that hold between nodes.
+//! Checks the invariants across nodes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,47 +8,50 @@
 use super::Coverage;
 use super::node::TestNode;
 
-/// What all nodes together have decided so far.
+/// The entries, acknowledgements and leaders of all nodes so far.
 #[derive(Default)]
 pub struct GlobalChecks {
-    chosen: BTreeMap<LogIndex, LogEntry>,
+    applied: BTreeMap<LogIndex, LogEntry>,
     acknowledged: BTreeSet<u64>,
     leaders: BTreeMap<LeaderTerm, InstanceId>,
-    voters_seen: usize,
+    last_voter_count: usize,
 }
 
 impl GlobalChecks {
-    /// Notes an entry that a node applied; every other must apply the same there.
-    pub fn chosen(&mut self, entry: &LogEntry) {
-        let first = self.chosen.entry(entry.index).or_insert_with(|| entry.clone());
-        assert_eq!(first, entry, "two nodes applied different entries at one place");
+    /// Records an entry that a node applied, and checks that all nodes apply the same entry at its
+    /// index.
+    pub fn record_applied(&mut self, entry: &LogEntry) {
+        let first = self.applied.entry(entry.index).or_insert_with(|| entry.clone());
+        assert_eq!(first, entry, "two nodes applied different entries at one index");
     }
 
-    /// Notes that a client was told that its command is accepted.
+    /// Records that a command was acknowledged to the client.
     pub fn acknowledge(&mut self, command: u64) {
         assert!(self.acknowledged.insert(command), "command {command} was accepted twice");
     }
 
+    /// Returns the number of acknowledged commands.
     pub fn acknowledged(&self) -> usize {
         self.acknowledged.len()
     }
 
+    /// Checks that every term has at most one leader.
     pub fn check_leaders(&mut self, nodes: &[TestNode], coverage: &mut Coverage) {
         for node in nodes.iter().filter(|node| node.role() == Some(NodeRole::Leader)) {
-            let known = self.leaders.entry(node.term()).or_insert_with(|| {
+            let leader_of_term = self.leaders.entry(node.term()).or_insert_with(|| {
                 coverage.leaders += 1;
                 node.name.clone()
             });
-            assert_eq!(*known, node.name, "two leaders in term {}", node.term());
+            assert_eq!(*leader_of_term, node.name, "two leaders in term {}", node.term());
             let (voters, learners) = node.voter_count();
-            if learners == 0 && voters > self.voters_seen && self.voters_seen > 0 {
+            if learners == 0 && voters > self.last_voter_count && self.last_voter_count > 0 {
                 coverage.replaced_disks += 1;
             }
-            self.voters_seen = voters;
+            self.last_voter_count = voters;
         }
     }
 
-    /// Checks that every node holds every acknowledged command, once.
+    /// Checks that every node has applied every acknowledged command exactly once.
     pub fn check_complete(&self, nodes: &[TestNode]) {
         for node in nodes {
             let state = node.state().expect("all nodes are up");
--- a/crates/consensus/tests/harness/mod.rs
+++ b/crates/consensus/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! The harness of the randomised run: nodes, disks, a network and the invariants between them.
+//! Simulates a cluster for the randomised tests: nodes, disks, a network and invariant checks.
 
 mod checks;
 mod node;
@@ -15,30 +15,31 @@
 use node::TestNode;
 
 const STEP: Duration = Duration::from_millis(5);
-const STORM_STEPS: u64 = 1_600;
-const CALM_STEPS: u64 = 3_000;
+const FAULT_STEPS: u64 = 1_600;
+const MAX_CONVERGE_STEPS: u64 = 3_000;
 
-/// What a seed's run does.
+/// The faults and the load of a seed's run.
 pub struct RunPlan {
     voters: usize,
-    lossy: f64,
+    loss_rate: f64,
     lose_disks: bool,
     power_cut: bool,
-    /// Whether proposals are rare, so that a node that was cut off has as much as the others.
-    quiet: bool,
-    /// Whether processes are killed with and without a loss of power, and whether in the end all
-    /// lose power and one its disk.
+    /// Whether proposals are rare, so that a node that was partitioned has as many entries as
+    /// others.
+    rare_proposals: bool,
+    /// Whether processes are killed with and without a power loss, and whether at the end all nodes
+    /// lose power and one may lose its disk.
     kills: bool,
     suspensions: Option<SuspendedClock>,
 }
 
-/// What a node's clock does while its machine is suspended.
+/// The behaviour of a node's clock while its machine is suspended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SuspendedClock {
-    /// It goes on: `CLOCK_BOOTTIME`.
+    /// The clock continues, as `CLOCK_BOOTTIME` does.
     Counts,
-    /// It stands still: `CLOCK_MONOTONIC`.
-    StandsStill,
+    /// The clock stops, as `CLOCK_MONOTONIC` does.
+    Stops,
 }
 
 impl RunPlan {
@@ -47,31 +48,32 @@
         let voters = [1, 3, 3, 5, 5, 5][random.random_range(0..6)];
         Self {
             voters,
-            lossy: [0.0, 0.02, 0.2][random.random_range(0..3)],
+            loss_rate: [0.0, 0.02, 0.2][random.random_range(0..3)],
             lose_disks: voters == 5 && random.random_bool(0.5),
             power_cut: random.random_bool(0.3),
-            quiet: random.random_bool(0.3),
+            rare_proposals: random.random_bool(0.3),
             kills: false,
             suspensions: None,
         }
     }
 
-    /// The same, with machines that are suspended, several at once too.
+    /// Returns the plan of a seed with suspended machines, several at once too.
     pub fn with_suspensions(seed: u64, clock: SuspendedClock) -> Self {
         Self { suspensions: Some(clock), ..Self::for_seed(seed) }
     }
 
-    /// The same, with kills that keep the power and a last loss of power and of a disk.
+    /// Returns the plan of a seed with kills without power loss, and a final power loss that may
+    /// include the loss of a disk.
     pub fn with_kills(seed: u64) -> Self {
         Self { kills: true, ..Self::for_seed(seed) }
     }
 }
 
-/// What a run with kills met beside what [`Coverage`] counts.
+/// Counts of faults that [`Coverage`] does not include.
 #[derive(Debug, Default)]
-pub struct KillCounts {
+pub struct FaultCounts {
     pub kills: u64,
-    pub last_faults: u64,
+    pub final_power_losses: u64,
     pub suspensions: u64,
 }
 
@@ -97,47 +99,52 @@
     crashes_writing
 );
 
+/// A message on the network, with the step at which it arrives.
 struct Delivery {
     due: u64,
     envelope: Envelope,
 }
 
-/// One run.
+/// The state of one run.
 struct World {
     random: StdRng,
     plan: RunPlan,
     step: u64,
     nodes: Vec<TestNode>,
     network: Vec<Delivery>,
-    /// Pairs (from, to) that do not reach each other until the step.
+    /// Pairs (from, to) whose messages are dropped until the step.
     cuts: BTreeMap<(usize, usize), u64>,
-    /// Nodes whose machines are suspended until the step.
+    /// Nodes whose machines are suspended, with the step at which they resume.
     suspended: BTreeMap<usize, u64>,
     checks: GlobalChecks,
     next_command: u64,
     trace: bool,
     disks_lost: usize,
-    kill_counts: KillCounts,
+    fault_counts: FaultCounts,
 }
 
-/// Runs one seed; panics when an invariant is violated.
-pub fn run_seed(seed: u64, plan: &RunPlan, trace: bool, coverage: &mut Coverage) -> KillCounts {
+/// Runs one seed.
+///
+/// # Panics
+///
+/// Panics if an invariant is violated.
+pub fn run_seed(seed: u64, plan: &RunPlan, trace: bool, coverage: &mut Coverage) -> FaultCounts {
     let plan = RunPlan { ..*plan };
     let mut world = World::new(seed, plan, trace);
-    while world.step < STORM_STEPS {
-        world.storm(coverage);
+    while world.step < FAULT_STEPS {
+        world.inject_fault(coverage);
         world.advance(coverage);
     }
     world.cuts.clear();
     world.suspended.clear();
-    world.plan.lossy = 0.0;
-    world.settle(seed, coverage);
+    world.plan.loss_rate = 0.0;
+    world.converge(seed, coverage);
     if world.plan.kills {
-        world.last_fault(coverage);
-        world.settle(seed, coverage);
+        world.final_power_loss(coverage);
+        world.converge(seed, coverage);
     }
     coverage.seeds += 1;
-    world.kill_counts
+    world.fault_counts
 }
 
 impl World {
@@ -159,14 +166,14 @@
             next_command: 1,
             trace,
             disks_lost: 0,
-            kill_counts: KillCounts::default(),
+            fault_counts: FaultCounts::default(),
         };
-        let mut ignored = Coverage::default();
-        (0..world.nodes.len()).for_each(|node| world.start(node, &mut ignored));
+        let mut discarded = Coverage::default();
+        (0..world.nodes.len()).for_each(|node| world.start(node, &mut discarded));
         world
     }
 
-    fn note(&self, text: impl FnOnce() -> String) {
+    fn print_trace(&self, text: impl FnOnce() -> String) {
         if self.trace {
             println!("{:>6} {}", self.step, text());
         }
@@ -174,61 +181,62 @@
 
     fn start(&mut self, index: usize, coverage: &mut Coverage) {
         let now = STEP * u32::try_from(self.step).expect("a short run");
-        let fresh = self.random.random();
+        let fresh_disk = self.random.random();
         if !self.nodes[index].is_up() {
-            coverage.torn_frames += u64::from(self.nodes[index].start(now, fresh));
-            self.note(|| format!("start {}", self.nodes[index].name));
+            coverage.torn_frames += u64::from(self.nodes[index].start(now, fresh_disk));
+            self.print_trace(|| format!("start {}", self.nodes[index].name));
         }
     }
 
-    /// Starts all nodes and waits until they agree; all that was acknowledged must be there.
-    fn settle(&mut self, seed: u64, coverage: &mut Coverage) {
+    /// Starts all nodes and runs until they agree, then checks that every acknowledged command is
+    /// present.
+    fn converge(&mut self, seed: u64, coverage: &mut Coverage) {
         (0..self.nodes.len()).for_each(|node| self.start(node, coverage));
-        let calm_until = self.step + CALM_STEPS;
-        while self.step < calm_until && !self.settled() {
+        let deadline = self.step + MAX_CONVERGE_STEPS;
+        while self.step < deadline && !self.has_converged() {
             if self.step.is_multiple_of(40) {
                 self.propose(coverage);
             }
             self.advance(coverage);
         }
-        assert!(self.settled(), "seed {seed}: did not settle: {}", self.describe());
+        assert!(self.has_converged(), "seed {seed}: did not converge: {}", self.describe());
         self.checks.check_complete(&self.nodes);
     }
 
-    /// Lets all lose power while commands are accepted, and one its disk where that is borne.
-    fn last_fault(&mut self, coverage: &mut Coverage) {
+    /// Makes all nodes lose power while commands are accepted, and one of several nodes its disk.
+    fn final_power_loss(&mut self, coverage: &mut Coverage) {
         for _ in 0..self.random.random_range(0..30) {
             self.propose(coverage);
             self.advance(coverage);
         }
-        self.note(|| "last fault".to_owned());
-        let loser = self.random.random_range(0..self.nodes.len());
+        self.print_trace(|| "final power loss".to_owned());
+        let lost_disk = self.random.random_range(0..self.nodes.len());
         for index in 0..self.nodes.len() {
             self.nodes[index].crash(&mut self.random);
         }
         if self.nodes.len() > 1 && self.random.random_bool(0.7) {
-            self.nodes[loser].lose_disk();
+            self.nodes[lost_disk].lose_disk();
         }
-        self.kill_counts.last_faults += 1;
+        self.fault_counts.final_power_losses += 1;
     }
 
     fn crash(&mut self, index: usize, coverage: &mut Coverage) {
         self.suspended.remove(&index);
         if self.nodes[index].is_up() && self.plan.kills && self.random.random_bool(0.6) {
-            self.note(|| format!("kill {}", self.nodes[index].name));
+            self.print_trace(|| format!("kill {}", self.nodes[index].name));
             self.nodes[index].kill(&mut self.random);
-            self.kill_counts.kills += 1;
+            self.fault_counts.kills += 1;
             return;
         }
         if self.nodes[index].is_up() {
-            self.note(|| format!("crash {}", self.nodes[index].name));
+            self.print_trace(|| format!("crash {}", self.nodes[index].name));
             self.nodes[index].crash(&mut self.random);
             coverage.crashes += 1;
         }
     }
 
-    /// Lets something go wrong, or not.
-    fn storm(&mut self, coverage: &mut Coverage) {
+    /// Injects a random fault, operation or nothing.
+    fn inject_fault(&mut self, coverage: &mut Coverage) {
         let count = self.nodes.len();
         let victim = self.random.random_range(0..count);
         match self.random.random_range(0..1000) {
@@ -236,10 +244,10 @@
             6..=30 => self.start(victim, coverage),
             31..=36 if count > 1 => self.cut(victim, coverage),
             37..=38 if self.plan.lose_disks => self.lose_disk(victim, coverage),
-            // One that is writing: what it has not synced is what it must not have promised.
+            // Crashes a node that is writing, because it must not have promised unsynced state.
             226..=229 => {
-                let busy = (0..count).find(|node| self.nodes[*node].is_writing());
-                if let Some(node) = busy {
+                let writing = (0..count).find(|node| self.nodes[*node].is_writing());
+                if let Some(node) = writing {
                     self.crash(node, coverage);
                     coverage.crashes_writing += 1;
                 }
@@ -254,7 +262,7 @@
                     coverage.hand_overs += 1;
                 }
             }
-            44..=200 if self.plan.quiet => {}
+            44..=200 if self.plan.rare_proposals => {}
             42..=200 => self.propose(coverage),
             201..=215 => self.read(),
             230..=236 if self.plan.suspensions.is_some() => self.suspend(victim),
@@ -268,25 +276,26 @@
         self.suspended.contains_key(&index)
     }
 
-    /// Suspends a node's machine: it does nothing, and what is sent to it waits.
+    /// Suspends a node's machine. The node does nothing, and messages to it wait until it resumes.
     fn suspend(&mut self, victim: usize) {
         if !self.nodes[victim].is_up() || self.is_suspended(victim) {
             return;
         }
         let steps = self.random.random_range(20..600);
-        self.note(|| format!("suspend {} for {steps} steps", self.nodes[victim].name));
+        self.print_trace(|| format!("suspend {} for {steps} steps", self.nodes[victim].name));
         self.suspended.insert(victim, self.step + steps);
-        if self.plan.suspensions == Some(SuspendedClock::StandsStill) {
+        if self.plan.suspensions == Some(SuspendedClock::Stops) {
             let span = STEP * u32::try_from(steps).expect("a short span");
-            self.nodes[victim].stand_still(span);
+            self.nodes[victim].stop_clock(span);
         }
-        self.kill_counts.suspensions += 1;
+        self.fault_counts.suspensions += 1;
     }
 
+    /// Cuts the network between a pair of nodes, or between a node and all others.
     fn cut(&mut self, victim: usize, coverage: &mut Coverage) {
         let until = self.step + self.random.random_range(10..400);
         if self.random.random_bool(0.3) {
-            // Two do not reach each other, and both reach all others.
+            // The two nodes do not reach each other, and both reach all others.
             let other = (victim + self.random.random_range(1..self.nodes.len())) % self.nodes.len();
             self.cuts.insert((victim, other), until);
             self.cuts.insert((other, victim), until);
@@ -294,14 +303,16 @@
             return;
         }
         let one_way = self.random.random_bool(0.5);
-        let deaf = self.random.random_bool(0.5);
-        self.note(|| format!("cut {} one_way {one_way} until {until}", self.nodes[victim].name));
+        let cut_inbound = self.random.random_bool(0.5);
+        self.print_trace(|| {
+            format!("cut {} one_way {one_way} until {until}", self.nodes[victim].name)
+        });
         for other in (0..self.nodes.len()).filter(|other| *other != victim) {
-            // Cut off one way, it may still hear the others, or may still be heard by them.
-            if !one_way || !deaf {
+            // A one-way cut drops either all messages from the node or all messages to it.
+            if !one_way || !cut_inbound {
                 self.cuts.insert((victim, other), until);
             }
-            if !one_way || deaf {
+            if !one_way || cut_inbound {
                 self.cuts.insert((other, victim), until);
             }
         }
@@ -309,15 +320,15 @@
         coverage.one_way_cuts += u64::from(one_way);
     }
 
-    /// Replaces a disk by an empty one, but at most two in a run, the second perhaps while the
-    /// first is still being repaired: that much five voters must bear.
+    /// Replaces a disk by an empty one, at most twice in a run. The second loss may occur while the
+    /// first is still being repaired, because five voters must tolerate two lost disks.
     fn lose_disk(&mut self, victim: usize, coverage: &mut Coverage) {
-        let everyone_knows = self.nodes.iter().all(TestNode::knows_voters);
-        if self.disks_lost >= 2 || !everyone_knows {
+        let all_know_voters = self.nodes.iter().all(TestNode::knows_voters);
+        if self.disks_lost >= 2 || !all_know_voters {
             return;
         }
         self.crash(victim, coverage);
-        self.note(|| format!("disk of {} lost", self.nodes[victim].name));
+        self.print_trace(|| format!("disk of {} lost", self.nodes[victim].name));
         self.nodes[victim].lose_disk();
         self.disks_lost += 1;
         coverage.disks_lost += 1;
@@ -332,8 +343,9 @@
         self.nodes.iter().rposition(leads)
     }
 
+    /// Proposes a command to one of the nodes in the leader role.
     fn propose(&mut self, coverage: &mut Coverage) {
-        // Also to one that only believes that it leads.
+        // The target may be a deposed leader that does not know of its successor yet.
         let leaders: Vec<usize> = (0..self.nodes.len())
             .filter(|index| self.nodes[*index].role() == Some(NodeRole::Leader))
             .filter(|index| !self.is_suspended(*index))
@@ -347,16 +359,17 @@
         coverage.lost_proposals += lost;
     }
 
+    /// Starts a read that must see all commands acknowledged so far.
     fn read(&mut self) {
         let Some(leader) = self.leader().filter(|leader| !self.is_suspended(*leader)) else {
             return;
         };
         let now = self.now(leader);
-        let floor = self.checks.acknowledged();
-        self.nodes[leader].read(now, floor);
+        let min_commands = self.checks.acknowledged();
+        self.nodes[leader].read(now, min_commands);
     }
 
-    /// Lets one step of time pass everywhere.
+    /// Advances all nodes and the network by one step.
     fn advance(&mut self, coverage: &mut Coverage) {
         self.step += 1;
         let step = self.step;
@@ -366,8 +379,8 @@
         for mut delivery in due {
             let to = self.nodes.iter().position(|node| node.name == delivery.envelope.to);
             let to = to.expect("every instance has a node");
-            if let Some(wakes) = self.suspended.get(&to) {
-                delivery.due = *wakes;
+            if let Some(resumes_at) = self.suspended.get(&to) {
+                delivery.due = *resumes_at;
                 self.network.push(delivery);
                 continue;
             }
@@ -382,36 +395,38 @@
             let sync = self.random.random_bool(0.7);
             let sent = self.nodes[index].advance(now, sync, &mut self.checks, coverage);
             for envelope in sent {
-                self.post(index, &envelope, coverage);
+                self.send(index, &envelope, coverage);
             }
         }
-        let holders: Vec<usize> = (0..self.nodes.len())
-            // One that is suspended answers nobody until it wakes, and is looked at then.
+        let lease_holders: Vec<usize> = (0..self.nodes.len())
+            // A suspended node answers nobody until it resumes, and is checked from then on.
             .filter(|index| !self.is_suspended(*index))
             .filter(|index| self.nodes[*index].holds_lease(self.now(*index)))
             .collect();
-        assert!(holders.len() <= 1, "two leaders hold a lease at once: {}", self.describe());
+        assert!(lease_holders.len() <= 1, "two leaders hold a lease at once: {}", self.describe());
         self.checks.check_leaders(&self.nodes, coverage);
     }
 
-    fn post(&mut self, from: usize, envelope: &Envelope, coverage: &mut Coverage) {
+    /// Queues a message, unless the network loses it, and duplicates or delays it at random.
+    fn send(&mut self, from: usize, envelope: &Envelope, coverage: &mut Coverage) {
         let to = self.nodes.iter().position(|node| node.name == envelope.to).expect("a node");
-        let lost = self.random.random_bool(self.plan.lossy);
+        let lost = self.random.random_bool(self.plan.loss_rate);
         if self.cuts.contains_key(&(from, to)) || lost {
             coverage.dropped += 1;
             return;
         }
-        let copies = if self.random.random_bool(self.plan.lossy / 4.0) { 2 } else { 1 };
+        let copies = if self.random.random_bool(self.plan.loss_rate / 4.0) { 2 } else { 1 };
         coverage.duplicated += copies - 1;
         for _ in 0..copies {
-            let slow = self.plan.lossy > 0.0 && self.random.random_bool(0.02);
+            let slow = self.plan.loss_rate > 0.0 && self.random.random_bool(0.02);
             let delay = if slow { self.random.random_range(5..120) } else { 1 };
             self.network.push(Delivery { due: self.step + delay, envelope: envelope.clone() });
         }
     }
 
-    /// Returns whether all nodes agree, with a full set of voters.
-    fn settled(&self) -> bool {
+    /// Returns whether all nodes have applied the same entries and are voters, under a leader with
+    /// a lease.
+    fn has_converged(&self) -> bool {
         let Some(leader) = self.leader() else { return false };
         let applied = self.nodes[leader].applied();
         let full = |node: &TestNode| node.voter_count() == (self.nodes.len(), 0);
--- a/crates/consensus/tests/harness/node.rs
+++ b/crates/consensus/tests/harness/node.rs
@@ -1,4 +1,4 @@
-//! One node of the run: the real node and the real store on a fake disk, and a state machine.
+//! Implements a test node: a consensus node with its log store on a fake disk and a state machine.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 const SEGMENT_BYTES: u64 = 2_048;
 const DRIFT_PERCENT: u32 = 10;
 
-/// The state machine: the commands applied, in order.
+/// The state machine: the applied commands, in order.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TestState {
     pub applied: u64,
@@ -33,36 +33,39 @@
     }
 
     fn decode(bytes: &[u8]) -> Self {
-        let mut numbers =
-            bytes.chunks_exact(8).map(|chunk| u64::from_le_bytes(chunk.try_into().expect("8")));
+        let mut numbers = bytes
+            .chunks_exact(8)
+            .map(|chunk| u64::from_le_bytes(chunk.try_into().expect("8 bytes")));
         let applied = numbers.next().expect("the index");
         Self { applied, commands: numbers.collect() }
     }
 }
 
+/// The process of a node, with all state that is lost when it ends.
 struct RunningNode {
     node: ConsensusNode,
     store: LogStore,
     batches: VecDeque<PersistBatch>,
-    /// Proposals that wait, by index, with the term they were made in.
-    waiting: BTreeMap<LogIndex, (LeaderTerm, u64)>,
-    /// Reads that wait, with what must be seen at least.
-    reads: BTreeMap<u64, usize>,
+    /// Proposals that are not applied yet, by index, with the term in which they were made.
+    pending_proposals: BTreeMap<LogIndex, (LeaderTerm, u64)>,
+    /// Unanswered reads by token, with the number of commands that each must see at least.
+    pending_reads: BTreeMap<u64, usize>,
     next_read: u64,
     state: TestState,
 }
 
+/// A node with its disk and clock, which may be down.
 pub struct TestNode {
     pub name: InstanceId,
     first_voters: Vec<InstanceId>,
     disk: FakeDisk,
-    /// Parts per thousand by which the local clock is fast or slow.
+    /// The rate of the local clock, in parts per thousand of true time.
     rate: u32,
-    /// For how long the local clock has stood still.
-    stood_still: Duration,
+    /// The total time for which the local clock was stopped.
+    stopped_for: Duration,
     running: Option<RunningNode>,
-    /// The most that this node ever showed, with its disk.
-    shown: u64,
+    /// The highest index that this node has applied with its present disk.
+    max_applied: u64,
     seed: u64,
 }
 
@@ -74,9 +77,9 @@
             disk: FakeDisk::default(),
             // Any two clocks differ by less than DRIFT_PERCENT.
             rate: random.random_range(955..1045),
-            stood_still: Duration::ZERO,
+            stopped_for: Duration::ZERO,
             running: None,
-            shown: 0,
+            max_applied: 0,
             seed: random.random(),
         }
     }
@@ -86,23 +89,23 @@
     }
 
     pub fn local_time(&self, true_time: Duration) -> MonotonicTime {
-        MonotonicTime::ZERO + true_time.saturating_sub(self.stood_still) * self.rate / 1_000
+        MonotonicTime::ZERO + true_time.saturating_sub(self.stopped_for) * self.rate / 1_000
     }
 
-    /// Lets the local clock stand still for a span, as the steady clock does in a suspension.
-    pub fn stand_still(&mut self, span: Duration) {
-        self.stood_still += span;
+    /// Stops the local clock for a span, as `CLOCK_MONOTONIC` does during a suspension.
+    pub fn stop_clock(&mut self, span: Duration) {
+        self.stopped_for += span;
     }
 
-    /// Returns whether something is not synced yet.
+    /// Returns whether a batch is not synced yet.
     pub fn is_writing(&self) -> bool {
         self.running.as_ref().is_some_and(|running| !running.batches.is_empty())
     }
 
-    /// Starts the node; returns whether a torn frame was cut.
-    pub fn start(&mut self, true_time: Duration, fresh: u64) -> bool {
+    /// Starts the node. Returns whether the store truncated a torn frame.
+    pub fn start(&mut self, true_time: Duration, fresh_disk: u64) -> bool {
         let folder = DiskFolder::fake(self.disk.clone());
-        let (store, recovered) = LogStore::open(folder, SEGMENT_BYTES).expect("a whole store");
+        let (store, recovered) = LogStore::open(folder, SEGMENT_BYTES).expect("the store opens");
         let torn = recovered.cut_bytes > 0;
         self.seed = self.seed.wrapping_add(1);
         let config = ConsensusConfig {
@@ -115,31 +118,33 @@
             seed: self.seed,
         };
         let now = self.local_time(true_time);
-        let node = ConsensusNode::new(config, self.name.clone(), DiskId(fresh), recovered, now);
+        let node =
+            ConsensusNode::new(config, self.name.clone(), DiskId(fresh_disk), recovered, now);
         self.running = Some(RunningNode {
             node,
             store,
             batches: VecDeque::new(),
-            waiting: BTreeMap::new(),
-            reads: BTreeMap::new(),
+            pending_proposals: BTreeMap::new(),
+            pending_reads: BTreeMap::new(),
             next_read: 0,
             state: TestState::default(),
         });
         torn
     }
 
-    /// Crashes the node, often in the middle of what it was writing, with a loss of power.
+    /// Crashes the node with a power loss, often in the middle of a write.
     pub fn crash(&mut self, random: &mut StdRng) {
         self.end_while_writing(random);
         self.disk.crash(random);
     }
 
-    /// Ends the process in the same way, but keeps the power.
+    /// Ends the process, often in the middle of a write, without a power loss.
     pub fn kill(&mut self, random: &mut StdRng) {
         self.end_while_writing(random);
         self.disk.kill_process();
     }
 
+    /// Syncs batches until the disk fails after a few operations, then ends the process.
     fn end_while_writing(&mut self, random: &mut StdRng) {
         self.disk.fail_after(random.random_range(0..5));
         if let Some(running) = &mut self.running {
@@ -148,9 +153,10 @@
         self.running = None;
     }
 
+    /// Replaces the disk by an empty one.
     pub fn lose_disk(&mut self) {
         self.disk.wipe();
-        self.shown = 0;
+        self.max_applied = 0;
     }
 
     pub fn role(&self) -> Option<NodeRole> {
@@ -173,7 +179,7 @@
         self.running.as_ref().is_some_and(|r| !r.node.voters().voters.is_empty())
     }
 
-    /// Returns the voters and the learners that this node knows of.
+    /// Returns the numbers of voters and learners that this node knows of.
     pub fn voter_count(&self) -> (usize, usize) {
         let count = |set: &VoterSet| (set.voters.len(), set.learners.len());
         self.running.as_ref().map_or((0, 0), |running| count(running.node.voters()))
@@ -187,28 +193,29 @@
         self.running.as_mut().is_some_and(|running| running.node.transfer_leadership(now))
     }
 
-    /// Proposes a command; returns how many earlier proposals it replaces.
+    /// Proposes a command. Returns the number of earlier pending proposals at the same index.
     pub fn propose(&mut self, command: u64) -> u64 {
         let Some(running) = &mut self.running else { return 0 };
         match running.node.propose(Arc::from(command.to_le_bytes())) {
             Ok((index, term)) => {
-                u64::from(running.waiting.insert(index, (term, command)).is_some())
+                u64::from(running.pending_proposals.insert(index, (term, command)).is_some())
             }
             Err(_) => 0,
         }
     }
 
-    pub fn read(&mut self, now: MonotonicTime, floor: usize) {
+    /// Starts a read that must see at least `min_commands` commands.
+    pub fn read(&mut self, now: MonotonicTime, min_commands: usize) {
         let Some(running) = &mut self.running else { return };
         let token = running.next_read;
         running.next_read += 1;
-        running.reads.insert(token, floor);
+        running.pending_reads.insert(token, min_commands);
         if running.node.read(now, token).is_err() {
-            running.reads.remove(&token);
+            running.pending_reads.remove(&token);
         }
     }
 
-    /// Takes a snapshot where enough was applied; returns whether it did.
+    /// Takes a snapshot if enough entries were applied since the last one. Returns whether it did.
     pub fn snapshot(&mut self) -> bool {
         let Some(running) = &mut self.running else { return false };
         let applied = LogIndex(running.state.applied);
@@ -225,7 +232,7 @@
         }
     }
 
-    /// Lets time pass; returns what is to be sent.
+    /// Advances time and returns the messages to send.
     pub fn advance(
         &mut self,
         now: MonotonicTime,
@@ -253,10 +260,10 @@
             running.finish_read(token, index, coverage);
         }
         output.failed_reads.iter().for_each(|token| {
-            running.reads.remove(token);
+            running.pending_reads.remove(token);
         });
         let applied = running.state.applied;
-        self.shown = self.shown.max(applied);
+        self.max_applied = self.max_applied.max(applied);
         sent
     }
 
@@ -277,7 +284,7 @@
 }
 
 impl RunningNode {
-    /// Syncs the oldest batch and returns what may be sent now.
+    /// Syncs the oldest batch and returns the messages that may be sent afterwards.
     fn sync(&mut self) -> Vec<Envelope> {
         self.try_sync().expect("the disk works").unwrap_or_default()
     }
@@ -302,14 +309,14 @@
         checks: &mut GlobalChecks,
         coverage: &mut Coverage,
     ) {
-        assert_eq!(entry.index.0, self.state.applied + 1, "{name} applies in order");
+        assert_eq!(entry.index.0, self.state.applied + 1, "{name} must apply entries in order");
         self.state.applied = entry.index.0;
         if let EntryPayload::Command(bytes) = &entry.payload {
             let command = u64::from_le_bytes(bytes.as_ref().try_into().expect("8 bytes"));
             self.state.commands.push(command);
         }
-        checks.chosen(entry);
-        if let Some((term, command)) = self.waiting.remove(&entry.index) {
+        checks.record_applied(entry);
+        if let Some((term, command)) = self.pending_proposals.remove(&entry.index) {
             if term == entry.term {
                 checks.acknowledge(command);
                 coverage.accepted += 1;
@@ -320,12 +327,15 @@
     }
 
     fn finish_read(&mut self, token: u64, index: LogIndex, coverage: &mut Coverage) {
-        let Some(floor) = self.reads.remove(&token) else { return };
-        // The state machine may lag behind the index; a real read waits for it. All that was
-        // acknowledged before the question must be within the index.
+        let Some(min_commands) = self.pending_reads.remove(&token) else { return };
+        // The state machine may lag behind the index; the caller of a read waits for it. All
+        // commands acknowledged before the request must be at or below the index.
         if self.state.applied >= index.0 {
             let seen = self.state.commands.len();
-            assert!(seen >= floor, "a read saw {seen} commands, but {floor} were acknowledged");
+            assert!(
+                seen >= min_commands,
+                "a read saw {seen} commands, but {min_commands} were acknowledged"
+            );
             coverage.lease_reads += 1;
         }
     }
--- a/crates/consensus/tests/learner.rs
+++ b/crates/consensus/tests/learner.rs
@@ -1,4 +1,4 @@
-//! A learner receives the log and counts in no quorum.
+//! Tests that a learner receives the log but does not count in a quorum.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,10 +14,10 @@
     format!("v{number}").parse().expect("a valid name")
 }
 
-/// Nodes whose messages arrive at once, unless one of the two is cut off.
+/// Nodes whose messages arrive immediately, unless the sender or the receiver is unreachable.
 struct SmallCluster {
     nodes: BTreeMap<InstanceId, ConsensusNode>,
-    cut: Vec<InstanceId>,
+    unreachable: Vec<InstanceId>,
     now: MonotonicTime,
 }
 
@@ -39,7 +39,7 @@
             ConsensusNode::new(config, name(number), disk, RecoveredLog::default(), now)
         };
         let nodes = (0..all).map(|number| (name(number), node(number))).collect();
-        Self { nodes, cut: Vec::new(), now }
+        Self { nodes, unreachable: Vec::new(), now }
     }
 
     fn run(&mut self, steps: usize) {
@@ -56,8 +56,8 @@
                 }
             }
             for envelope in sent {
-                let lost =
-                    self.cut.contains(&envelope.from.instance) || self.cut.contains(&envelope.to);
+                let lost = self.unreachable.contains(&envelope.from.instance)
+                    || self.unreachable.contains(&envelope.to);
                 if !lost {
                     let to = self.nodes.get_mut(&envelope.to).expect("a known node");
                     to.receive(self.now, envelope);
@@ -72,13 +72,14 @@
     }
 }
 
+/// Guards against a leader that commits an entry with acknowledgements of learners.
 #[test]
 fn a_learner_counts_in_no_quorum() {
     let mut cluster = SmallCluster::new(3, 4);
     cluster.run(400);
     let leader = cluster.leader();
     let spare = name(3);
-    // The two other voters cannot be reached; the fourth instance learns.
+    // The fourth instance becomes a learner; then the two other voters become unreachable.
     let all: Vec<InstanceId> = (0..4).map(name).collect();
     let node = cluster.nodes.get_mut(&leader).expect("the leader");
     node.set_wanted_voters(all).expect("it leads");
@@ -93,13 +94,16 @@
         }
     }
     assert!(learns(&cluster), "the spare never became a learner");
-    cluster.cut = (0..3).map(name).filter(|voter| *voter != leader).collect();
+    cluster.unreachable = (0..3).map(name).filter(|voter| *voter != leader).collect();
     let before = cluster.nodes[&leader].commit();
     let node = cluster.nodes.get_mut(&leader).expect("the leader");
     let (index, _) = node.propose(Arc::from([1_u8])).expect("it leads");
     cluster.run(20);
-    assert!(cluster.nodes[&spare].last_index() >= index, "the learner did not even receive it");
+    assert!(
+        cluster.nodes[&spare].last_index() >= index,
+        "the learner did not receive entry {index}"
+    );
     let commit = cluster.nodes[&leader].commit();
-    assert!(commit < index, "entry {index} counts as committed with one voter of three");
+    assert!(commit < index, "entry {index} was committed with one voter of three");
     assert!(commit >= before);
 }
--- a/crates/consensus/tests/random_run.rs
+++ b/crates/consensus/tests/random_run.rs
@@ -1,18 +1,20 @@
-//! A seeded randomised run of the real nodes on the real store over fake disks.
+//! Runs consensus nodes with their log stores on fake disks through seeded random faults.
 //!
-//! One seed decides every delay, loss, duplicate, partition, crash, clock rate, lost disk and
-//! snapshot, so a failing seed replays exactly. `oriolepass_seeds` says how to choose seeds.
+//! A seed determines every delay, loss, duplicate, partition, crash, clock rate, lost disk and
+//! snapshot, so a failing seed replays exactly. `oriolepass_seeds` documents how to choose seeds.
 
 mod harness;
 
 use harness::{Coverage, RunPlan, SuspendedClock, run_seed};
 use oriolepass_seeds::run_seeds;
 
-/// Seeds run where the environment names no number; a fixed share for CI.
+/// The number of seeds if the environment sets none; a fixed number for CI.
 const DEFAULT_SEEDS: u64 = 400;
 
+/// Guards against the loss or duplication of acknowledged commands, diverging logs, two leaders in
+/// one term, two valid leases and stale reads.
 #[test]
-fn accepted_entries_survive_everything() {
+fn accepted_entries_survive_random_faults() {
     let mut coverage = Coverage::default();
     let all = run_seeds(DEFAULT_SEEDS, |seed, trace| {
         run_seed(seed, &RunPlan::for_seed(seed), trace, &mut coverage);
@@ -23,26 +25,33 @@
     }
 }
 
-/// What was seen: after a loss of power everywhere, with one disk lost, no voter led again and nothing accepted could
-/// be read. How it came about: processes had been killed before while they wrote; what they had not synced was read
-/// at the next start as if it were durable, and the loss of power took it from a log that others had built on.
-/// Proof: this run without the sync of what a start reads.
+/// Guards against a cluster that elects no leader and serves no accepted entry after a power loss
+/// on all machines and the loss of one disk.
+///
+/// The fault requires processes that were killed while writing. A restarted process reads its
+/// unsynced data as durable, and a later power loss removes that data from a log that other
+/// replicas rely on. The test fails if the store does not sync the data that it reads at start.
 #[test]
-fn accepted_entries_survive_kills_and_losses_of_power() {
+fn accepted_entries_survive_process_kills_and_power_loss() {
     let mut coverage = Coverage::default();
-    let (mut kills, mut last_faults) = (0, 0);
+    let (mut kills, mut final_power_losses) = (0, 0);
     let all = run_seeds(DEFAULT_SEEDS, |seed, trace| {
         let counts = run_seed(seed, &RunPlan::with_kills(seed), trace, &mut coverage);
         kills += counts.kills;
-        last_faults += counts.last_faults;
+        final_power_losses += counts.final_power_losses;
     });
-    println!("{coverage}kills {kills}  last_faults {last_faults}");
+    println!("{coverage}kills {kills}  final_power_losses {final_power_losses}");
     if all {
-        assert!(kills > 0 && last_faults > 0, "kills {kills}, last faults {last_faults}");
+        assert!(
+            kills > 0 && final_power_losses > 0,
+            "kills {kills}, final power losses {final_power_losses}"
+        );
     }
 }
 
-/// Machines are suspended for up to three seconds, leaders and several at once too, on clocks that count it.
+/// Guards against lost entries and overlapping leases when machines are suspended for up to three
+/// seconds. Leaders and several machines at once are suspended too. Their clocks include the time
+/// of the suspension.
 #[test]
 fn accepted_entries_and_leases_survive_suspensions() {
     let mut coverage = Coverage::default();
@@ -57,24 +66,30 @@
     }
 }
 
-/// A leader that was suspended on a clock that stands still meanwhile holds its lease for longer than the others wait:
-/// this is what the run above would catch.
+/// Checks that `accepted_entries_and_leases_survive_suspensions` can detect overlapping leases.
+/// With a clock that stops during a suspension, a suspended leader holds its lease for longer than
+/// the other replicas wait before they vote.
 #[test]
-fn a_clock_that_stands_still_in_suspensions_breaks_leases() {
-    let broken = (0..DEFAULT_SEEDS).find(|seed| {
-        let plan = RunPlan::with_suspensions(*seed, SuspendedClock::StandsStill);
+fn a_clock_that_stops_during_suspension_breaks_leases() {
+    let failing_seed = (0..DEFAULT_SEEDS).find(|seed| {
+        let plan = RunPlan::with_suspensions(*seed, SuspendedClock::Stops);
         let run = || run_seed(*seed, &plan, false, &mut Coverage::default());
         std::panic::catch_unwind(std::panic::AssertUnwindSafe(run)).is_err()
     });
-    assert!(broken.is_some(), "no seed of {DEFAULT_SEEDS} shows it");
+    assert!(
+        failing_seed.is_some(),
+        "no seed of {DEFAULT_SEEDS} breaks an invariant with a stopped clock"
+    );
 }
 
-/// What was seen: two leaders held a lease at once. How it came about: a leader was deposed, led again in a later term, and
-/// one of its messages from before reached a follower only then. The follower refused it as out of date, in the present
-/// term, with the old message's round, and the leader took that for an answer to a round that it had not sent yet. Rounds
-/// begin anew with each term, so its lease, and its reads, counted on that follower without end.
+/// Guards against two leaders that hold a lease at once.
+///
+/// A leader is deposed and re-elected in a later term, and one of its earlier messages reaches a
+/// follower only then. If the follower refuses the message in the current term with the old
+/// message's round, the leader takes that for an answer to a round that it has not sent yet. Rounds
+/// restart with each term, so its lease and its reads would count on that follower indefinitely.
 #[test]
-fn a_leader_that_leads_again_gains_nothing_from_its_earlier_rounds() {
+fn a_reelected_leader_gains_no_acknowledgement_from_rounds_of_earlier_terms() {
     let seed = 15_538;
     let plan = RunPlan::with_suspensions(seed, SuspendedClock::Counts);
     run_seed(seed, &plan, false, &mut Coverage::default());
