--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -283,8 +283,8 @@
 fn consensus_config(shared: &DaemonShared) -> ConsensusConfig {
     let timing = &shared.settings.timing;
     ConsensusConfig {
-        election: timing.election,
-        heartbeat: timing.heartbeat,
+        election_timeout: timing.election,
+        heartbeat_interval: timing.heartbeat,
         drift_percent: timing.drift_percent,
         message_bytes: MESSAGE_BYTES,
         first_voters: shared.settings.voters.iter().map(|v| v.instance.clone()).collect(),
--- a/crates/daemon/src/log/driver.rs
+++ b/crates/daemon/src/log/driver.rs
@@ -164,11 +164,11 @@
                 let _ = reply.send(self.as_leader(now).map(|()| self.report()));
             }
             LogInput::WantVoters(wanted, reply) => {
-                let answer = self.node.want_voters(wanted).map(|_| ());
+                let answer = self.node.set_wanted_voters(wanted).map(|_| ());
                 let _ = reply.send(answer.map_err(|error| self.not_leader(error.leader.as_ref())));
             }
             LogInput::HandOver(reply) => {
-                let _ = reply.send(self.node.hand_over(now));
+                let _ = reply.send(self.node.transfer_leadership(now));
             }
             LogInput::Stop => {}
         }
--- a/crates/gateway/src/replica/mod.rs
+++ b/crates/gateway/src/replica/mod.rs
@@ -217,15 +217,15 @@
     /// Adds replicas that this replica asks for membership.
     pub(crate) fn learn_contacts(&mut self, contacts: &[InstanceId]) {
         if let Some(running) = &mut self.running {
-            running.node.learn_contacts(contacts.iter().cloned());
+            running.node.set_contacts(contacts.iter().cloned());
         }
     }
 
     fn start(&mut self, now: MonotonicTime, first_voters: Vec<InstanceId>) {
         let Some(OpenedStore { recovered, batches }) = self.opened.take() else { return };
         let config = ConsensusConfig {
-            election: ELECTION_TIMEOUT,
-            heartbeat: HEARTBEAT_INTERVAL,
+            election_timeout: ELECTION_TIMEOUT,
+            heartbeat_interval: HEARTBEAT_INTERVAL,
             drift_percent: DRIFT_PERCENT,
             message_bytes: MAX_MESSAGE_BYTES,
             first_voters,
@@ -291,7 +291,7 @@
         let oldest = running.unsynced.front().map(|(_, _, at)| *at);
         let is_stalled = oldest.is_some_and(|at| now.since(at) > DISK_TIMEOUT);
         if is_stalled && running.node.role() == NodeRole::Leader {
-            running.node.hand_over(now);
+            running.node.transfer_leadership(now);
         }
     }
 
@@ -324,7 +324,7 @@
 
     /// Hands over leadership to another replica if this replica leads; returns whether it did.
     pub(crate) fn hand_over(&mut self, now: MonotonicTime) -> bool {
-        self.running.as_mut().is_some_and(|running| running.node.hand_over(now))
+        self.running.as_mut().is_some_and(|running| running.node.transfer_leadership(now))
     }
 
     /// Processes the node's output and returns the effects.
@@ -357,7 +357,7 @@
         if let Some(running) = &mut self.running {
             // Callers check that this replica leads. If it has just lost leadership, the new leader
             // reviews the voters, so the error is ignored.
-            let _ = running.node.want_voters(wanted);
+            let _ = running.node.set_wanted_voters(wanted);
         }
     }
 
