--- a/crates/gateway/src/balancer.rs
+++ b/crates/gateway/src/balancer.rs
@@ -1,8 +1,9 @@
-//! Chooses among the endpoints of a plain service.
+//! Selects an endpoint for requests to services without engines.
 //!
-//! Every daemon decides for itself: the one with the least outstanding here, with those that
-//! failed lately counted as busier. Daemons tell each other of failures, so that each learns
-//! from the requests of all.
+//! Every daemon decides locally. It selects the endpoint with the fewest outstanding requests of
+//! this daemon, and recent failures of an endpoint count as additional outstanding requests.
+//! Daemons report endpoint failures to each other, so each balancer takes the failures seen by all
+//! daemons into account.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,37 +13,37 @@
 
 use crate::endpoints::EndpointBeat;
 
-/// The time after which a failure counts half: a few seconds keep a bad endpoint out for most of
-/// a trouble that lasts five, and let it back soon after.
-const HALF_LIFE: Duration = Duration::from_millis(2_500);
+/// The half-life of a failure's weight. It keeps a failing endpoint out for most of a fault that
+/// lasts 5 s and readmits the endpoint soon afterwards.
+const FAULT_HALF_LIFE: Duration = Duration::from_millis(2_500);
 
-/// How many requests outstanding one full failure counts as.
-const FAILURE_WEIGHT: f64 = 3.0;
+/// The cost of a failure of weight 1, in outstanding requests.
+const FAULT_COST: f64 = 3.0;
 
-/// How many requests outstanding another data centre counts as: less than one, so that waiting
-/// goes before the price of the bytes between data centres.
-const FAR_WEIGHT: f64 = 0.4;
+/// The cost of an endpoint in another data centre, in outstanding requests. It is less than one, so
+/// that avoiding a queue takes precedence over the price of traffic between data centres.
+const REMOTE_DATA_CENTRE_COST: f64 = 0.4;
 
-/// How an endpoint failed a request.
+/// The way in which an endpoint failed a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FaultKind {
     /// No connection could be made.
     Unreachable,
-    /// The connection broke, or the answer was cut short or was not an answer.
+    /// The connection broke, or the answer was truncated or invalid.
     Broken,
-    /// No answer came in time.
+    /// No answer arrived in time.
     Silent,
-    /// It answered that it had no room.
+    /// The endpoint answered that it has no capacity.
     Full,
-    /// It answered with a failure of its own.
+    /// The endpoint answered with a server error.
     Failure,
 }
 
 impl FaultKind {
-    /// Returns how much it counts against the endpoint.
+    /// Returns the weight of the failure in the endpoint's cost.
     ///
-    /// A failure that the endpoint's own program answers may lie with the request, and a full
-    /// endpoint recovers by itself, so both count less than a broken connection.
+    /// A server error may be caused by the request, and a full endpoint recovers by itself, so both
+    /// count less than a broken connection.
     fn weight(self) -> f64 {
         match self {
             Self::Unreachable => 1.5,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Returns the name for logs.
+    /// Returns the name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Unreachable => "unreachable",
@@ -68,24 +69,24 @@
 struct EndpointLoad {
     outstanding: u32,
     faults: f64,
-    counted: MonotonicTime,
+    updated_at: MonotonicTime,
 }
 
 impl EndpointLoad {
     fn faults_at(&self, now: MonotonicTime) -> f64 {
-        let halvings = now.since(self.counted).as_secs_f64() / HALF_LIFE.as_secs_f64();
+        let halvings = now.since(self.updated_at).as_secs_f64() / FAULT_HALF_LIFE.as_secs_f64();
         self.faults * 0.5_f64.powf(halvings)
     }
 }
 
-/// What is outstanding and what failed, by endpoint.
+/// Tracks outstanding requests and recent failures by endpoint.
 #[derive(Debug, Default)]
 pub struct EndpointBalancer {
     loads: BTreeMap<EndpointStart, EndpointLoad>,
 }
 
 impl EndpointBalancer {
-    /// Chooses one of the candidates; `draw` breaks ties.
+    /// Selects the candidate with the least cost. `draw` is a random number that breaks ties.
     pub fn choose<'a>(
         &self,
         now: MonotonicTime,
@@ -95,8 +96,9 @@
     ) -> Option<&'a EndpointBeat> {
         let cost = |beat: &EndpointBeat| {
             let load = self.loads.get(&beat.endpoint).copied().unwrap_or_default();
-            let far = if beat.data_centre == *own { 0.0 } else { FAR_WEIGHT };
-            f64::from(load.outstanding) + load.faults_at(now) * FAILURE_WEIGHT + far
+            let distance_cost =
+                if beat.data_centre == *own { 0.0 } else { REMOTE_DATA_CENTRE_COST };
+            f64::from(load.outstanding) + load.faults_at(now) * FAULT_COST + distance_cost
         };
         let costs: Vec<f64> = candidates.iter().map(|beat| cost(beat)).collect();
         let least = costs.iter().copied().fold(f64::INFINITY, f64::min);
@@ -106,30 +108,30 @@
             .filter(|(_, cost)| **cost <= least + 0.05)
             .map(|(beat, _)| beat)
             .collect();
-        let at = usize::try_from(draw % best.len().max(1) as u64).unwrap_or(0);
-        best.get(at).map(|beat| **beat)
+        let index = usize::try_from(draw % best.len().max(1) as u64).unwrap_or(0);
+        best.get(index).map(|beat| **beat)
     }
 
-    /// Notes that a request goes to an endpoint.
+    /// Records that a request is sent to an endpoint.
     pub fn begin(&mut self, endpoint: &EndpointStart) {
         self.loads.entry(endpoint.clone()).or_default().outstanding += 1;
     }
 
-    /// Notes that a request at an endpoint has ended.
+    /// Records that a request at an endpoint has ended.
     pub fn end(&mut self, endpoint: &EndpointStart) {
         if let Some(load) = self.loads.get_mut(endpoint) {
             load.outstanding = load.outstanding.saturating_sub(1);
         }
     }
 
-    /// Notes that an endpoint failed a request, here or at another daemon.
+    /// Records that an endpoint failed a request of this daemon or of another daemon.
     pub fn fault(&mut self, now: MonotonicTime, endpoint: &EndpointStart, fault: FaultKind) {
         let load = self.loads.entry(endpoint.clone()).or_default();
         load.faults = load.faults_at(now) + fault.weight();
-        load.counted = now;
+        load.updated_at = now;
     }
 
-    /// Forgets endpoints that are not known any more and have nothing outstanding.
+    /// Removes endpoints that are no longer known and have no outstanding requests.
     pub fn retain(&mut self, is_known: impl Fn(&EndpointStart) -> bool) {
         self.loads.retain(|endpoint, load| load.outstanding > 0 || is_known(endpoint));
     }
--- a/crates/gateway/src/budget.rs
+++ b/crates/gateway/src/budget.rs
@@ -1,30 +1,31 @@
-//! The budget for repeated sends.
+//! Limits repeated sends of requests with a retry budget for each service.
 //!
-//! All daemons share one allowance for each service: a part of the requests for it plus a fixed
-//! number in a window. Each daemon uses its own part without asking: the ratio of its own
-//! requests, and the fixed number divided by the daemons heard. A safety factor covers daemons
-//! that see different numbers of others for a while.
+//! All daemons share one allowance for each service: a ratio of the service's requests plus a fixed
+//! number in a window. Each daemon uses its part without coordination: the ratio of its own
+//! requests, and the fixed number divided by the number of daemons that it currently sees. A safety
+//! factor covers periods in which daemons see different numbers of other daemons.
 //!
-//! With many daemons, the divided fixed number is less than one repeated send each. In tiers it is
-//! therefore divided among the hubs only, which grant repeated sends to their leaves.
+//! With many daemons, the divided fixed number is less than one repeated send per daemon. In a
+//! tiered cluster the fixed number is therefore divided among the hubs only, and the hubs grant
+//! repeated sends to their leaves.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
 use oriolepass_units::{MonotonicTime, ServiceName};
 
-/// The part of the allowance that is used. The rest covers windows that lie otherwise, requests
-/// that another daemon counted, and daemons that were not heard for a while.
+/// The part of the allowance that is used. The rest covers windows that are not aligned between
+/// daemons, requests that another daemon counted, and daemons that are temporarily not seen.
 const USED_SHARE: f64 = 0.7;
 
 /// The allowance of one window.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetRule {
-    /// Repeated sends as a part of the requests.
+    /// Repeated sends per request.
     pub ratio: f64,
-    /// Repeated sends beside that, over all daemons.
+    /// Repeated sends in a window in addition to the ratio, over all daemons.
     pub slack: f64,
-    /// The window.
+    /// The length of the sliding window.
     pub window: Duration,
 }
 
@@ -32,24 +33,24 @@
 struct ServiceWindow {
     requests: VecDeque<MonotonicTime>,
     repeats: VecDeque<MonotonicTime>,
-    /// Repeated sends that this hub granted to its leaves and to itself.
+    /// Repeated sends that this hub has granted to its leaves and to itself.
     grants: VecDeque<MonotonicTime>,
 }
 
-/// Counts requests and repeated sends by service.
+/// Counts requests and repeated sends by service and enforces the allowance.
 #[derive(Debug, Default)]
 pub struct RetryBudget {
     services: HashMap<ServiceName, ServiceWindow>,
 }
 
 impl RetryBudget {
-    /// Counts a caller's request.
+    /// Counts a request from a caller.
     pub fn count_request(&mut self, now: MonotonicTime, rule: &BudgetRule, service: &ServiceName) {
         let window = self.window(now, rule, service);
         window.requests.push_back(now);
     }
 
-    /// Takes one repeated send out of the budget; returns whether there was one.
+    /// Takes one repeated send from the budget. Returns whether the budget allowed it.
     pub fn take(
         &mut self,
         now: MonotonicTime,
@@ -60,8 +61,8 @@
         self.take_with_slack(now, rule, rule.slack / daemons.max(1) as f64, service)
     }
 
-    /// Takes one repeated send out of the ratio of this daemon's requests; returns whether there was
-    /// one.
+    /// Takes one repeated send from the ratio of this daemon's requests, without the fixed number.
+    /// Returns whether the ratio allowed it.
     pub fn take_from_ratio(
         &mut self,
         now: MonotonicTime,
@@ -71,8 +72,8 @@
         self.take_with_slack(now, rule, 0.0, service)
     }
 
-    /// Takes one repeated send out of this hub's part of the fixed number; returns whether there
-    /// was one.
+    /// Takes one repeated send from this hub's part of the fixed number. Returns whether that part
+    /// allowed it.
     pub fn grant(
         &mut self,
         now: MonotonicTime,
@@ -104,7 +105,7 @@
     ) -> &mut ServiceWindow {
         let window = self.services.entry(service.clone()).or_default();
         for times in [&mut window.requests, &mut window.repeats, &mut window.grants] {
-            while times.front().is_some_and(|at| now.since(*at) > rule.window) {
+            while times.front().is_some_and(|time| now.since(*time) > rule.window) {
                 times.pop_front();
             }
         }
@@ -112,15 +113,15 @@
     }
 }
 
-/// Records one more send if the total stays within the allowance; returns whether it does.
+/// Records one more send if the total stays within the allowance. Returns whether it was recorded.
 fn record_if_within(
     now: MonotonicTime,
     sends: &mut VecDeque<MonotonicTime>,
     allowance: f64,
 ) -> bool {
-    let fits = (sends.len() + 1) as f64 <= allowance;
-    if fits {
+    let is_within = (sends.len() + 1) as f64 <= allowance;
+    if is_within {
         sends.push_back(now);
     }
-    fits
+    is_within
 }
