--- a/crates/gateway/src/front/body.rs
+++ b/crates/gateway/src/front/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers.
+//! Defines the bodies of responses to callers.
 
 use std::convert::Infallible;
 use std::fmt;
@@ -9,59 +9,59 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::sync::mpsc;
 
-/// The answer cannot be finished. The caller's connection is broken off, so that the answer
-/// looks as incomplete as it is.
+/// The error of a body that cannot be completed. It aborts the caller's connection, so that the
+/// caller recognises the response as incomplete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct BodyCut;
+pub(super) struct BodyAborted;
 
-impl fmt::Display for BodyCut {
+impl fmt::Display for BodyAborted {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the answer was broken off")
+        f.write_str("response body aborted before its end")
     }
 }
 
-impl std::error::Error for BodyCut {}
+impl std::error::Error for BodyAborted {}
 
-impl From<Infallible> for BodyCut {
+impl From<Infallible> for BodyAborted {
     fn from(never: Infallible) -> Self {
         match never {}
     }
 }
 
-/// The body of an answer to a caller.
-pub(super) enum FrontBody {
-    /// All of it.
-    Whole(Option<Bytes>),
-    /// Pieces as they come.
-    Pieces(mpsc::Receiver<Result<Bytes, BodyCut>>),
+/// The body of a response to a caller.
+pub(super) enum ResponseBody {
+    /// A body that is completely in memory.
+    Buffered(Option<Bytes>),
+    /// A body whose pieces are forwarded as they arrive.
+    Streamed(mpsc::Receiver<Result<Bytes, BodyAborted>>),
 }
 
-impl Body for FrontBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = BodyCut;
+    type Error = BodyAborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BodyCut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyAborted>>> {
         match self.get_mut() {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Self::Pieces(pieces) => {
+            Self::Buffered(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            Self::Streamed(pieces) => {
                 pieces.poll_recv(cx).map(|piece| piece.map(|piece| piece.map(Frame::data)))
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(None))
+        matches!(self, Self::Buffered(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => {
+            Self::Buffered(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            Self::Pieces(_) => SizeHint::default(),
+            Self::Streamed(_) => SizeHint::default(),
         }
     }
 }
--- a/crates/gateway/src/front/caller.rs
+++ b/crates/gateway/src/front/caller.rs
@@ -1,4 +1,5 @@
-//! One request of a caller: read, looked up, tried, answered.
+//! Handles one request of a caller: reads it, looks up its route and key, sends it to an endpoint and
+//! returns the answer.
 
 use std::cell::{Cell, OnceCell};
 use std::rc::Rc;
@@ -16,75 +17,78 @@
 use oriolepass_units::MonotonicTime;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use super::body::FrontBody;
+use super::body::ResponseBody;
 use super::headers;
 use super::listener::ConnectionWatch;
 use super::refusal::Refusal;
 use super::starting;
 use super::stream;
-use super::tries::{History, Verdict};
+use super::tries::{RequestOutcome, SendHistory};
 use crate::dialect::RequestFacts;
 use crate::documents::ActiveDocument;
 use crate::events::EventKind;
 use crate::gateway::Gateway;
 
-/// When to come back after a refusal that will pass soon.
-pub(super) const SOON: Duration = Duration::from_millis(400);
+/// The `Retry-After` of refusals whose cause is short-lived.
+pub(super) const SHORT_RETRY_AFTER: Duration = Duration::from_millis(400);
 
-/// When to come back where this daemon waits for a leader or for a document: an election and the
+/// The `Retry-After` of refusals for lack of a leader or a current document. An election and the
 /// first proof take about this long.
-pub(super) const AFTER_ELECTION: Duration = Duration::from_millis(1_000);
+pub(super) const ELECTION_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 
-/// When to come back to another instance.
-const ELSEWHERE: Duration = Duration::from_millis(50);
+/// The `Retry-After` of refusals after which the caller should use another instance.
+const OTHER_INSTANCE_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// The time for a request's body to arrive where the request names no deadline.
-const BODY_PATIENCE: Duration = Duration::from_secs(10);
+/// The maximum time for a request's body to arrive. A shorter deadline of the request takes
+/// precedence.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What is read of a body that is too long, so that its sender gets to read the answer.
-const DISCARD_BYTES: usize = 16 * 1024 * 1024;
+/// The maximum number of bytes of a rejected body that are read and discarded, so that the caller can
+/// read the answer.
+const MAX_DISCARDED_BYTES: usize = 16 * 1024 * 1024;
 
-/// How long that may take.
-const DISCARD_PATIENCE: Duration = Duration::from_secs(2);
+/// The time-out of reading and discarding a rejected body.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The part of the memory that bodies may take up.
-const BODY_MEMORY_SHARE: usize = 4;
+/// Request bodies may take up the memory limit divided by this number.
+const BODY_MEMORY_DIVISOR: usize = 4;
 
-/// A deadline that callers do not exceed; it keeps arithmetic on times in range.
+/// The upper bound of deadlines. It keeps arithmetic on times in range.
 const MAX_DEADLINE: Duration = Duration::from_secs(3_600);
 
-/// A request that is to be served.
+/// An admitted request.
 pub(super) struct CallerRequest {
     pub(super) id: String,
     pub(super) method: Method,
     pub(super) path: String,
-    /// What is passed on.
+    /// The headers that are forwarded to endpoints.
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
     pub(super) facts: RequestFacts,
     pub(super) arrived: Instant,
-    /// When the caller or the route gives up, as timers count, which stand still in a suspension.
-    pub(super) give_up: Instant,
-    /// The same, suspensions included.
-    ends: MonotonicTime,
+    /// The end of the request's time on the clock of the timers, which stops during a suspension of
+    /// the machine.
+    pub(super) timer_deadline: Instant,
+    /// The end of the request's time on a clock that includes suspensions.
+    clock_deadline: MonotonicTime,
     pub(super) route: Arc<RouteSpec>,
     pub(super) service: Arc<ServiceSpec>,
     pub(super) holder: Option<Arc<KeyHolder>>,
-    /// Whether the document must be proved current for it to be sent.
+    /// Whether the routing document must be proved current before the request is sent.
     pub(super) needs_proof: bool,
     digest: OnceCell<RequestDigest>,
     buffered: BufferedBytes,
 }
 
 impl CallerRequest {
-    /// Returns what is left of its time. A machine that wakes from a suspension must not send what nobody
-    /// waits for any more.
-    pub(super) fn left(&self) -> Duration {
-        self.ends.since(self.buffered.gateway.now())
+    /// Returns the remaining time of the request. Suspensions count, so that a machine that resumes from
+    /// one does not send requests whose callers have given up.
+    pub(super) fn time_left(&self) -> Duration {
+        self.clock_deadline.since(self.buffered.gateway.now())
     }
 
-    /// Returns what names the request across its attempts. Computed when it is first asked for: most
-    /// requests are never suspected of anything.
+    /// Returns the digest that identifies the request across its attempts. The digest is computed on
+    /// first use, since most requests are never suspect.
     pub(super) fn digest(&self) -> RequestDigest {
         *self.digest.get_or_init(|| {
             let host = self.headers.get(HOST).and_then(|host| host.to_str().ok());
@@ -100,7 +104,7 @@
     }
 }
 
-/// Counts a body's bytes while they are in memory.
+/// Counts the bytes of a request's body against the memory limit for bodies while it exists.
 struct BufferedBytes {
     gateway: Rc<Gateway>,
     bytes: Cell<usize>,
@@ -111,11 +115,11 @@
         Self { gateway: Rc::clone(gateway), bytes: Cell::new(0) }
     }
 
-    /// Takes more bytes in; returns whether they fit.
+    /// Adds bytes to the count. Returns false and adds nothing if they exceed the limit.
     fn add(&self, bytes: usize) -> bool {
         let total = self.gateway.buffered_bytes.get() + bytes;
         let memory = usize::try_from(self.gateway.settings().memory_mb).unwrap_or(usize::MAX);
-        if total > memory.saturating_mul(1 << 20) / BODY_MEMORY_SHARE {
+        if total > memory.saturating_mul(1 << 20) / BODY_MEMORY_DIVISOR {
             return false;
         }
         self.gateway.buffered_bytes.set(total);
@@ -130,28 +134,29 @@
     }
 }
 
-/// What a request asked for.
-struct RequestPlace {
+/// The route and account of a request, for its log line and metrics.
+struct RequestTarget {
     route: Arc<RouteSpec>,
     account: Option<String>,
     kind: &'static str,
 }
 
-/// Notes a request's end, also when its caller leaves and everything about it is dropped.
+/// Records the end of a request in the log and metrics, also when the caller disconnects and the
+/// request's task is dropped.
 pub(super) struct EndGuard {
     gateway: Rc<Gateway>,
     watch: Rc<ConnectionWatch>,
     id: String,
     arrived: Instant,
     arrived_at: MonotonicTime,
-    /// What was asked for, once that is known.
-    place: Option<RequestPlace>,
+    /// The route and account, once they are known.
+    target: Option<RequestTarget>,
     first_answer: Option<Duration>,
     last_piece: Option<Instant>,
     longest_pause: Duration,
     pieces: u32,
     sends: u32,
-    is_over: bool,
+    is_recorded: bool,
 }
 
 impl EndGuard {
@@ -164,23 +169,24 @@
             id: String::new(),
             arrived: Instant::now(),
             arrived_at: gateway.now(),
-            place: None,
+            target: None,
             first_answer: None,
             last_piece: None,
             longest_pause: Duration::ZERO,
             pieces: 0,
             sends: 0,
-            is_over: false,
+            is_recorded: false,
         }
     }
 
-    pub(super) fn answered(&mut self, sends: u32) {
+    /// Records the number of sends and, on the first call, the time until the answer.
+    pub(super) fn record_answer(&mut self, sends: u32) {
         self.sends = sends;
         self.first_answer.get_or_insert_with(|| self.arrived.elapsed());
     }
 
-    /// Notes that a piece of a stream goes to the caller.
-    pub(super) fn piece(&mut self) {
+    /// Records that a piece of a stream is sent to the caller.
+    pub(super) fn record_piece(&mut self) {
         let now = Instant::now();
         if let Some(last) = self.last_piece.replace(now) {
             self.longest_pause = self.longest_pause.max(now - last);
@@ -188,20 +194,20 @@
         self.pieces += 1;
     }
 
-    /// Notes the end, with what the caller got and why.
+    /// Records the end with the status that the caller received and the reason.
     pub(super) fn end(mut self, status: &str, reason: &str) {
         self.write(status, reason);
     }
 
     fn write(&mut self, status: &str, reason: &str) {
-        if std::mem::replace(&mut self.is_over, true) {
+        if std::mem::replace(&mut self.is_recorded, true) {
             return;
         }
-        let whole = self.arrived.elapsed();
+        let total = self.arrived.elapsed();
         let metrics = &self.gateway.metrics;
         metrics.requests.with_label_values(&[status]).inc();
         let mut line = self.gateway.line(EventKind::End).text("request", &self.id);
-        if let Some(RequestPlace { route, account, kind }) = &self.place {
+        if let Some(RequestTarget { route, account, kind }) = &self.target {
             line = line
                 .text("route", &route.name)
                 .maybe("account", account.as_ref())
@@ -209,7 +215,7 @@
             if let Some(pause) = route.pause_objective {
                 line = line.millis("pause_objective_ms", pause);
             }
-            metrics.whole_answer.with_label_values(&[kind]).observe(whole.as_secs_f64());
+            metrics.whole_answer.with_label_values(&[kind]).observe(total.as_secs_f64());
             if let Some(first) = self.first_answer {
                 metrics.first_answer.with_label_values(&[kind]).observe(first.as_secs_f64());
             }
@@ -221,7 +227,7 @@
             line =
                 line.number("pieces", self.pieces).millis("longest_pause_ms", self.longest_pause);
         }
-        line.millis("whole_ms", whole)
+        line.millis("whole_ms", total)
             .number("sends", self.sends)
             .text("status", status)
             .text("reason", reason);
@@ -237,12 +243,12 @@
     }
 }
 
-/// Serves a request.
+/// Serves a request and returns its response.
 pub(super) async fn serve(
     gateway: Rc<Gateway>,
     request: Request<Incoming>,
     watch: Rc<ConnectionWatch>,
-) -> Response<FrontBody> {
+) -> Response<ResponseBody> {
     let mut guard = EndGuard::new(&gateway, watch);
     let mut response = match admit(&gateway, request, &mut guard).await {
         Ok(request) => run(&gateway, request, guard).await,
@@ -254,13 +260,13 @@
     response
 }
 
-fn refuse(gateway: &Gateway, guard: EndGuard, refusal: &Refusal) -> Response<FrontBody> {
+fn refuse(gateway: &Gateway, guard: EndGuard, refusal: &Refusal) -> Response<ResponseBody> {
     gateway.metrics.refusals.with_label_values(&[refusal.reason]).inc();
     guard.end(refusal.status.as_str(), refusal.reason);
     refusal.response()
 }
 
-/// Reads a request and decides whether it is served.
+/// Reads a request and decides whether it is admitted.
 async fn admit(
     gateway: &Rc<Gateway>,
     request: Request<Incoming>,
@@ -270,10 +276,10 @@
     let (mut parts, mut body) = request.into_parts();
     let facts = (gateway.dialect.read_request)(&parts.headers);
     guard.id = facts.id.clone().unwrap_or_default();
-    starting::until_serving(gateway, &guard.id, facts.deadline).await;
+    starting::wait_until_serving(gateway, &guard.id, facts.deadline).await;
     let limits = gateway.active_document().map(|document| *document.table.limits());
     let Some(limits) = limits else {
-        return Err(Refusal::not_run("no document yet", starting::until_settled(gateway)));
+        return Err(Refusal::not_run("no document yet", starting::startup_retry_after(gateway)));
     };
     let host = match headers::check_head(&parts, limits.max_head_bytes) {
         Ok(host) => host,
@@ -283,8 +289,9 @@
         }
     };
     let buffered = BufferedBytes::new(gateway);
-    let patience = facts.deadline.unwrap_or(BODY_PATIENCE).min(BODY_PATIENCE);
-    let collected = timeout(patience, collect(&mut body, limits.max_body_bytes, &buffered)).await;
+    let body_timeout = facts.deadline.unwrap_or(BODY_TIMEOUT).min(BODY_TIMEOUT);
+    let collected =
+        timeout(body_timeout, collect(&mut body, limits.max_body_bytes, &buffered)).await;
     let body = match collected {
         Ok(Ok(bytes)) => bytes,
         Ok(Err(refusal)) => {
@@ -297,7 +304,8 @@
             return Err(Refusal::new(status, "slow body", remedy).closing());
         }
     };
-    let document = gateway.active_document().ok_or(Refusal::not_run("no document yet", SOON))?;
+    let document =
+        gateway.active_document().ok_or(Refusal::not_run("no document yet", SHORT_RETRY_AFTER))?;
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str()).to_owned();
     let (route, holder) = look_up(gateway, &document, &parts, &host, &facts)?;
     let id = match &facts.id {
@@ -309,26 +317,26 @@
     };
     let kind = if route.repeat.is_stream() { "stream" } else { "call" };
     let account = holder.as_ref().map(|holder| holder.account.to_string());
-    guard.place = Some(RequestPlace { route: Arc::clone(&route), account, kind });
+    guard.target = Some(RequestTarget { route: Arc::clone(&route), account, kind });
     let needs_proof = document.table.needs_keys() && !route.is_public;
     if needs_proof && gateway.settings().bounds.fail_closed && !gateway.is_fresh() {
         return Err(Refusal::not_run(
             "document not proved current",
-            starting::until_settled(gateway).max(AFTER_ELECTION),
+            starting::startup_retry_after(gateway).max(ELECTION_RETRY_AFTER),
         ));
     }
     let deadline = facts.deadline.unwrap_or(route.timeout).min(MAX_DEADLINE).min(route.timeout);
     if !gateway.has_time_for(deadline) {
-        return Err(Refusal::not_run("this instance ends", ELSEWHERE).closing());
+        return Err(Refusal::not_run("this instance ends", OTHER_INSTANCE_RETRY_AFTER).closing());
     }
     let service = RoutingTable::choose_service(&route, rand::random());
     let service = document
         .table
         .service(service)
         .cloned()
-        .ok_or_else(|| Refusal::not_run("service without a description", SOON))?;
+        .ok_or_else(|| Refusal::not_run("service without a description", SHORT_RETRY_AFTER))?;
     let dialect = &gateway.dialect;
-    headers::strip_hop_headers(&mut parts.headers, dialect.is_essential);
+    headers::strip_hop_by_hop_headers(&mut parts.headers, dialect.is_essential);
     (dialect.strip_request)(&mut parts.headers, needs_proof);
     Ok(CallerRequest {
         id,
@@ -337,8 +345,8 @@
         headers: parts.headers,
         body,
         arrived,
-        give_up: arrived + deadline,
-        ends: guard.arrived_at + deadline,
+        timer_deadline: arrived + deadline,
+        clock_deadline: guard.arrived_at + deadline,
         facts,
         route,
         service,
@@ -349,7 +357,7 @@
     })
 }
 
-/// Finds the route and the account of a request.
+/// Finds the route and the key holder of a request.
 fn look_up(
     gateway: &Gateway,
     document: &Rc<ActiveDocument>,
@@ -358,19 +366,19 @@
     facts: &RequestFacts,
 ) -> Result<(Arc<RouteSpec>, Option<Arc<KeyHolder>>), Refusal> {
     let table = &document.table;
-    let is_sure = gateway.is_fresh();
+    let is_fresh = gateway.is_fresh();
     let Some(route) = table.route(host, parts.uri.path()) else {
-        // A daemon that may lag cannot say that a route does not exist.
-        if !is_sure {
-            return Err(Refusal::not_run("route not known for sure", SOON));
+        // A daemon whose document may be outdated cannot state that a route does not exist.
+        if !is_fresh {
+            return Err(Refusal::not_run("route not known for sure", SHORT_RETRY_AFTER));
         }
         let remedy = "no route serves this host and path";
         return Err(Refusal::new(StatusCode::NOT_FOUND, "no route", remedy));
     };
     let holder = facts.key.as_ref().and_then(|key| table.holder(key));
     if table.needs_keys() && !route.is_public && holder.is_none() {
-        if !is_sure {
-            return Err(Refusal::not_run("key not known for sure", SOON));
+        if !is_fresh {
+            return Err(Refusal::not_run("key not known for sure", SHORT_RETRY_AFTER));
         }
         let remedy = "show a key that a client account holds";
         return Err(Refusal::new(StatusCode::UNAUTHORIZED, "unknown key", remedy));
@@ -378,7 +386,7 @@
     Ok((Arc::clone(route), holder.cloned()))
 }
 
-/// Reads a body into memory.
+/// Reads a request's body into memory.
 async fn collect(
     body: &mut Incoming,
     max_bytes: usize,
@@ -391,65 +399,66 @@
     if body.size_hint().lower() > max_bytes as u64 {
         return Err(too_long());
     }
-    let mut whole = BytesMut::new();
+    let mut collected = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else {
             let remedy = "the body was cut short or is not in valid chunks";
             return Err(Refusal::new(StatusCode::BAD_REQUEST, "broken body", remedy).closing());
         };
         let Ok(data) = frame.into_data() else { continue };
-        if whole.len() + data.len() > max_bytes {
+        if collected.len() + data.len() > max_bytes {
             return Err(too_long());
         }
         if !buffered.add(data.len()) {
-            return Err(Refusal::not_run("too many bodies in memory", SOON).closing());
+            return Err(Refusal::not_run("too many bodies in memory", SHORT_RETRY_AFTER).closing());
         }
-        whole.extend_from_slice(&data);
+        collected.extend_from_slice(&data);
     }
-    Ok(whole.freeze())
+    Ok(collected.freeze())
 }
 
-/// Reads the rest of a body that nobody wants: a connection that is closed with bytes unread is
-/// reset, and its caller may never see the answer.
+/// Reads and discards the rest of a rejected body. A connection that is closed with unread bytes is
+/// reset, and the caller may not receive the answer.
 async fn discard(body: &mut Incoming) {
-    let mut left = DISCARD_BYTES;
+    let mut remaining = MAX_DISCARDED_BYTES;
     let read = async {
         while let Some(Ok(frame)) = body.frame().await {
-            left = left.saturating_sub(frame.data_ref().map_or(0, Bytes::len));
-            if left == 0 {
+            remaining = remaining.saturating_sub(frame.data_ref().map_or(0, Bytes::len));
+            if remaining == 0 {
                 return;
             }
         }
     };
-    // What has not come by then is not waited for.
-    let _ = timeout(DISCARD_PATIENCE, read).await;
+    // The rest of a body that takes longer stays unread.
+    let _ = timeout(DISCARD_TIMEOUT, read).await;
 }
 
-/// Tries a request until it has its answer.
+/// Sends a request until it has an answer or its time is over, and returns the response.
 async fn run(
     gateway: &Rc<Gateway>,
     request: CallerRequest,
     mut guard: EndGuard,
-) -> Response<FrontBody> {
+) -> Response<ResponseBody> {
     let service = request.service.name.clone();
     gateway.budget.borrow_mut().count_request(gateway.now(), &gateway.budget_rule(), &service);
-    let start_wait = starting::patience(gateway, Some(request.left()));
-    let mut history = History::new(&request, start_wait);
-    let tried = timeout_at(request.give_up, history.try_until_answered(gateway, &request)).await;
-    let verdict = tried.unwrap_or_else(|_| {
+    let start_wait = starting::startup_wait(gateway, Some(request.time_left()));
+    let mut history = SendHistory::new(&request, start_wait);
+    let result =
+        timeout_at(request.timer_deadline, history.send_until_answered(gateway, &request)).await;
+    let outcome = result.unwrap_or_else(|_| {
         let may_have_run = history.may_have_run();
         let reason = if may_have_run { "time over" } else { "time over before it ran" };
-        Verdict::Refusal(Refusal::timed_out(reason))
+        RequestOutcome::Refusal(Refusal::timed_out(reason))
     });
-    guard.answered(history.sends());
-    match verdict {
-        Verdict::Answer(answer) => {
+    guard.record_answer(history.sends());
+    match outcome {
+        RequestOutcome::Answer(answer) => {
             let (parts, body) = answer.into_parts();
             guard.end(parts.status.as_str(), "answered");
-            Response::from_parts(parts, FrontBody::Whole(Some(body)))
+            Response::from_parts(parts, ResponseBody::Buffered(Some(body)))
         }
-        Verdict::Refusal(refusal) => refuse(gateway, guard, &refusal),
-        Verdict::Stream(open) => stream::answer(gateway, request, history, open, guard),
+        RequestOutcome::Refusal(refusal) => refuse(gateway, guard, &refusal),
+        RequestOutcome::Stream(open) => stream::start(gateway, request, history, open, guard),
     }
 }
 
--- a/crates/gateway/src/front/ends.rs
+++ b/crates/gateway/src/front/ends.rs
@@ -1,9 +1,11 @@
-//! Whether an endpoint has ended under a request, or merely lost its answer.
+//! Detects whether an endpoint's process ended while it served a request, or only the connection was
+//! lost.
 //!
-//! A connection that breaks in the middle of an answer says little: the endpoint may have cut it, or a
-//! machine in between. Where a new connection to the same address is refused at once, the machine is
-//! there and nobody listens: the endpoint's process is gone. One that is not answered at all proves
-//! nothing, as that is what a cut looks like; one that is accepted shows that somebody lives there.
+//! A connection that breaks in the middle of an answer is ambiguous: the endpoint or a machine on the
+//! path may have closed it. The gateway therefore opens a new connection to the same address. An
+//! immediate refusal shows that the machine is up and that no process listens, so the endpoint's
+//! process has ended. A connection that times out proves nothing, since a network partition looks the
+//! same. An accepted connection shows that a process listens at the address.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,62 +18,64 @@
 use crate::gateway::Gateway;
 use crate::net;
 
-/// How long a new connection is waited for. A machine that is there accepts or refuses within a hop,
-/// and a request that could go on elsewhere waits meanwhile.
-const LOOK_PATIENCE: Duration = Duration::from_millis(60);
+/// The time-out of the probe connection. A reachable machine accepts or refuses within a network hop,
+/// and a request that could continue at another endpoint waits meanwhile.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// What a look at an endpoint that lost an answer shows.
+/// The result of probing an endpoint whose connection was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum EndLook {
-    /// Nobody listens at its address any more.
+enum ProbeResult {
+    /// No process listens at its address.
     Ended,
-    /// It had said that it would leave.
+    /// It had announced that it leaves.
     Left,
-    /// A connection is accepted.
-    Lives,
-    /// No answer.
+    /// It accepted the connection.
+    Alive,
+    /// The connection was neither accepted nor refused.
     Unknown,
 }
 
-impl EndLook {
+impl ProbeResult {
     fn name(self) -> &'static str {
         match self {
             Self::Ended => "ended",
             Self::Left => "left",
-            Self::Lives => "lives",
+            Self::Alive => "lives",
             Self::Unknown => "unknown",
         }
     }
 }
 
-/// Looks whether an endpoint that lost a request's answer has ended, and writes down which request
-/// that was.
-pub(super) async fn look_for_end(
+/// Probes an endpoint whose connection broke during a request. Logs the result with the request, and
+/// records the end for the quarantine if the endpoint's process has ended.
+pub(super) async fn probe_for_end(
     gateway: &Gateway,
     request: &CallerRequest,
     endpoint: &EndpointStart,
     address: SocketAddr,
 ) {
-    let look = look(gateway, endpoint, address).await;
-    if look == EndLook::Ended {
+    let result = probe(gateway, endpoint, address).await;
+    if result == ProbeResult::Ended {
         gateway.ended_under(request.digest(), endpoint);
     }
-    gateway.metrics.end_looks.with_label_values(&[look.name()]).inc();
+    gateway.metrics.end_looks.with_label_values(&[result.name()]).inc();
     gateway
         .line(EventKind::EndpointEnd)
         .text("request", &request.id)
         .text("digest", request.digest())
         .text("endpoint", endpoint)
-        .text("outcome", look.name());
+        .text("outcome", result.name());
 }
 
-async fn look(gateway: &Gateway, endpoint: &EndpointStart, address: SocketAddr) -> EndLook {
+async fn probe(gateway: &Gateway, endpoint: &EndpointStart, address: SocketAddr) -> ProbeResult {
     if !gateway.endpoints.borrow().is_serving(endpoint) {
-        return EndLook::Left;
+        return ProbeResult::Left;
     }
-    match timeout(LOOK_PATIENCE, net::connect(address, None)).await {
-        Ok(Ok(_)) => EndLook::Lives,
-        Ok(Err(error)) if error.kind() == std::io::ErrorKind::ConnectionRefused => EndLook::Ended,
-        Ok(Err(_)) | Err(_) => EndLook::Unknown,
+    match timeout(PROBE_TIMEOUT, net::connect(address, None)).await {
+        Ok(Ok(_)) => ProbeResult::Alive,
+        Ok(Err(error)) if error.kind() == std::io::ErrorKind::ConnectionRefused => {
+            ProbeResult::Ended
+        }
+        Ok(Err(_)) | Err(_) => ProbeResult::Unknown,
     }
 }
--- a/crates/gateway/src/front/events.rs
+++ b/crates/gateway/src/front/events.rs
@@ -1,54 +1,55 @@
-//! Splits a stream into whole events, so that a caller never gets a part of one twice.
+//! Splits a server-sent event stream into complete events, so that a caller never receives part of an
+//! event twice when the stream is resumed at another endpoint.
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The longest event; a longer one is a fault of the endpoint.
+/// The maximum length of an event. A longer event is treated as a fault of the endpoint.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Collects bytes and hands out whole events, each once.
+/// Buffers bytes and returns complete events, each of them once.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
-    /// How far the buffer has been searched for an event's end.
-    searched: usize,
+    /// The length of the buffer's prefix that has been searched for the end of an event.
+    searched_bytes: usize,
     last_id: Option<u64>,
 }
 
 impl EventSplitter {
-    /// Creates a splitter for a caller that has everything up to `last_id`.
+    /// Creates a splitter for a caller that has all events up to `last_id`.
     pub fn new(last_id: Option<u64>) -> Self {
         Self { last_id, ..Self::default() }
     }
 
-    /// Returns the last event handed out.
+    /// Returns the id of the last event returned.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Returns whether a part of an event waits for its rest.
+    /// Returns whether the buffer holds an incomplete event.
     pub fn has_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Drops a part of an event, before the stream goes on at another endpoint.
+    /// Discards an incomplete event before the stream is resumed at another endpoint.
     pub fn drop_partial(&mut self) {
         self.buffer.clear();
-        self.searched = 0;
+        self.searched_bytes = 0;
     }
 
-    /// Returns whether an event has grown longer than any should be.
+    /// Returns whether the buffered event exceeds the maximum length.
     pub fn is_overlong(&self) -> bool {
         self.buffer.len() > MAX_EVENT_BYTES
     }
 
-    /// Takes in bytes and returns the events that are whole now and that the caller does not
-    /// have yet; empty if there are none.
+    /// Appends bytes and returns the complete events that the caller does not have yet. Returns an
+    /// empty buffer if there are none.
     pub fn push(&mut self, bytes: &[u8]) -> Bytes {
         self.buffer.extend_from_slice(bytes);
         let mut whole = BytesMut::new();
         while let Some(end) = self.event_end() {
             let event = self.buffer.copy_to_bytes(end);
-            self.searched = 0;
+            self.searched_bytes = 0;
             let id = event_id(&event);
             let is_repeated = id.is_some() && id <= self.last_id;
             if !is_repeated {
@@ -59,13 +60,13 @@
         whole.freeze()
     }
 
-    /// Returns where the first event in the buffer ends: after an empty line.
+    /// Returns the end offset of the first event in the buffer. An empty line ends an event.
     fn event_end(&mut self) -> Option<usize> {
-        let from = self.searched.saturating_sub(3);
+        let from = self.searched_bytes.saturating_sub(3);
         let rest = &self.buffer[from..];
         let lf = find(rest, b"\n\n").map(|at| from + at + 2);
         let crlf = find(rest, b"\r\n\r\n").map(|at| from + at + 4);
-        self.searched = self.buffer.len();
+        self.searched_bytes = self.buffer.len();
         match (lf, crlf) {
             (Some(lf), Some(crlf)) => Some(lf.min(crlf)),
             (lf, crlf) => lf.or(crlf),
--- a/crates/gateway/src/front/headers.rs
+++ b/crates/gateway/src/front/headers.rs
@@ -1,4 +1,4 @@
-//! Heads of messages: what is passed on, and what concerns one connection only.
+//! Validates request heads and removes hop-by-hop headers from forwarded messages.
 
 use hyper::header::{
     CONNECTION, CONTENT_LENGTH, EXPECT, HOST, HeaderMap, HeaderName, PROXY_AUTHENTICATE,
@@ -9,8 +9,8 @@
 
 use super::refusal::Refusal;
 
-/// Headers that concern one connection only, beside those that `Connection` lists.
-const HOP_HEADERS: [HeaderName; 8] = [
+/// Hop-by-hop headers, in addition to the headers that `Connection` lists.
+const HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     CONNECTION,
     PROXY_AUTHENTICATE,
     PROXY_AUTHORIZATION,
@@ -21,11 +21,11 @@
     EXPECT,
 ];
 
-/// Hop headers without a standard name.
-const OTHER_HOP_HEADERS: [&str; 2] = ["keep-alive", "proxy-connection"];
+/// Hop-by-hop headers without a constant in the HTTP library.
+const OTHER_HOP_BY_HOP_HEADERS: [&str; 2] = ["keep-alive", "proxy-connection"];
 
-/// Removes the headers that concern one connection only. The length is written anew.
-pub(super) fn strip_hop_headers(
+/// Removes hop-by-hop headers and `Content-Length`, which is set again when the message is written.
+pub(super) fn strip_hop_by_hop_headers(
     headers: &mut HeaderMap,
     is_essential: impl Fn(&HeaderName) -> bool,
 ) {
@@ -37,20 +37,20 @@
         .filter_map(|name| name.trim().parse().ok())
         .filter(|name| !is_essential(name) && *name != HOST)
         .collect();
-    for name in listed.iter().chain(&HOP_HEADERS) {
+    for name in listed.iter().chain(&HOP_BY_HOP_HEADERS) {
         headers.remove(name);
     }
-    for name in OTHER_HOP_HEADERS {
+    for name in OTHER_HOP_BY_HOP_HEADERS {
         headers.remove(name);
     }
     headers.remove(CONTENT_LENGTH);
 }
 
-/// Checks a request's head beyond what the HTTP library checks, and returns the host.
+/// Checks a request's head beyond the checks of the HTTP library, and returns the host.
 ///
 /// # Errors
 ///
-/// Returns the answer to a request that is ambiguous or too long.
+/// Returns the refusal for a request whose head is ambiguous, unsupported or too long.
 pub(super) fn check_head(parts: &Parts, max_head_bytes: usize) -> Result<String, Refusal> {
     let bad =
         |remedy: &str| Err(Refusal::new(StatusCode::BAD_REQUEST, "bad request", remedy).closing());
@@ -79,7 +79,7 @@
 }
 
 fn head_bytes(parts: &Parts) -> usize {
-    // A colon, a space and the end of the line for each.
+    // Each header line adds a colon, a space, CR and LF.
     let headers: usize = parts.headers.iter().map(|(n, v)| n.as_str().len() + v.len() + 4).sum();
     let line =
         parts.method.as_str().len() + parts.uri.path_and_query().map_or(1, |p| p.as_str().len());
--- a/crates/gateway/src/front/listener.rs
+++ b/crates/gateway/src/front/listener.rs
@@ -1,4 +1,5 @@
-//! Callers' connections: accepted, watched for slow and idle callers, ended with the process.
+//! Accepts callers' connections, closes slow and idle connections, and closes all connections when the
+//! process stops.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -18,75 +19,77 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use super::body::FrontBody;
+use super::body::ResponseBody;
 use super::caller;
 use crate::gateway::Gateway;
 use crate::lifecycle::Lifecycle;
 use crate::net;
 
-/// Descriptors left for the log, other daemons and endpoints.
+/// File descriptors reserved for the log and for connections to other daemons and endpoints.
 const RESERVED_DESCRIPTORS: u64 = 600;
 
-/// Each request under way needs a connection to an endpoint beside the caller's.
-const DESCRIPTORS_PER_CALLER: u64 = 2;
+/// Each active request needs a connection to an endpoint in addition to the caller's connection.
+const DESCRIPTORS_PER_CONNECTION: u64 = 2;
 
-/// The pause after a connection could not be accepted.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
+/// The delay before the next accept when accepting failed or the connection limit is reached.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Limits before any document is known; those of the document are checked on top.
-const FIRST_HEAD_PATIENCE: Duration = Duration::from_secs(10);
-const FIRST_IDLE_PATIENCE: Duration = Duration::from_secs(60);
+/// The time-out of a request's head while no routing document is known.
+const DEFAULT_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The library's buffer for a head; longer heads are refused by it.
-const HEAD_BUFFER: usize = 64 * 1024;
+/// The time-out of an idle connection while no routing document is known.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The answer to a caller whose head did not arrive in time.
-const SLOW_HEAD: &[u8] = b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\n\
+/// The HTTP library's buffer for a head. The library refuses longer heads.
+const HEAD_BUFFER_BYTES: usize = 64 * 1024;
+
+/// The response to a caller whose request head did not arrive in time.
+const HEAD_TIMEOUT_RESPONSE: &[u8] = b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\n\
     Content-Type: application/json\r\nContent-Length: 73\r\n\r\n\
     {\"error\":\"the request's head did not arrive in time; send it faster...\"}\n";
 
-/// What is seen of a connection beside its requests.
+/// The activity of a connection, from which its time-outs are computed.
 #[derive(Debug)]
 pub(super) struct ConnectionWatch {
-    /// Requests whose answer is not complete.
-    pub(super) under_way: Cell<u32>,
-    /// When the first byte of a head came, while the head is not complete.
-    head_began: Cell<Option<Instant>>,
+    /// The number of requests whose answer is not complete.
+    pub(super) active_requests: Cell<u32>,
+    /// The time of the first byte of a head, while the head is incomplete.
+    head_started_at: Cell<Option<Instant>>,
     idle_since: Cell<Instant>,
 }
 
 impl ConnectionWatch {
     fn new() -> Rc<Self> {
         Rc::new(Self {
-            under_way: Cell::new(0),
-            head_began: Cell::new(None),
+            active_requests: Cell::new(0),
+            head_started_at: Cell::new(None),
             idle_since: Cell::new(Instant::now()),
         })
     }
 
     pub(super) fn begin_request(&self) {
-        self.under_way.set(self.under_way.get() + 1);
-        self.head_began.set(None);
+        self.active_requests.set(self.active_requests.get() + 1);
+        self.head_started_at.set(None);
     }
 
     pub(super) fn end_request(&self) {
-        self.under_way.set(self.under_way.get().saturating_sub(1));
+        self.active_requests.set(self.active_requests.get().saturating_sub(1));
         self.idle_since.set(Instant::now());
     }
 }
 
-/// Serves callers until the process stops.
+/// Accepts and serves callers' connections until the process stops.
 pub(crate) async fn serve_callers(gateway: Rc<Gateway>, listener: TcpListener) {
     let open = Rc::new(Cell::new(0_u64));
     loop {
         let limit = gateway.settings().descriptors.saturating_sub(RESERVED_DESCRIPTORS)
-            / DESCRIPTORS_PER_CALLER;
+            / DESCRIPTORS_PER_CONNECTION;
         if open.get() >= limit {
-            sleep(ACCEPT_AGAIN).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         }
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(ACCEPT_AGAIN).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         open.set(open.get() + 1);
@@ -107,18 +110,18 @@
         let (gateway, watch) = (Rc::clone(&served), Rc::clone(&watched));
         watch.begin_request();
         let served = caller::serve(gateway, request, watch);
-        Box::pin(async move { Ok::<Response<FrontBody>, Infallible>(served.await) })
-            as Pin<Box<dyn Future<Output = Result<Response<FrontBody>, Infallible>>>>
+        Box::pin(async move { Ok::<Response<ResponseBody>, Infallible>(served.await) })
+            as Pin<Box<dyn Future<Output = Result<Response<ResponseBody>, Infallible>>>>
     });
     let mut connection = http1::Builder::new()
         .half_close(false)
-        .max_buf_size(HEAD_BUFFER)
+        .max_buf_size(HEAD_BUFFER_BYTES)
         .serve_connection(io, service);
     let mut lifecycle = gateway.lifecycle.subscribe();
     loop {
         let check_at = next_check(&gateway, &watch);
         tokio::select! {
-            // A caller that breaks off has nothing to be told.
+            // A caller that closed its connection receives no answer.
             _ = poll_fn(|cx| Pin::new(&mut connection).poll(cx)) => return,
             _ = lifecycle.wait_for(|phase| *phase == Lifecycle::Stopped) => return,
             () = sleep_until(check_at) => {}
@@ -128,8 +131,8 @@
             Overdue::Idle => Pin::new(&mut connection).graceful_shutdown(),
             Overdue::Head => {
                 let mut stream = connection.into_parts().io.into_inner().stream;
-                // A caller that has gone meanwhile has nothing to be told.
-                let _ = stream.write_all(SLOW_HEAD).await;
+                // Errors are ignored: the caller may have disconnected.
+                let _ = stream.write_all(HEAD_TIMEOUT_RESPONSE).await;
                 let _ = stream.shutdown().await;
                 return;
             }
@@ -137,42 +140,44 @@
     }
 }
 
+/// The time-out that a connection has exceeded.
 enum Overdue {
     Nothing,
     Idle,
     Head,
 }
 
-fn patience(gateway: &Gateway) -> (Duration, Duration) {
-    gateway.active_document().map_or((FIRST_HEAD_PATIENCE, FIRST_IDLE_PATIENCE), |document| {
+/// Returns the time-outs of a request's head and of an idle connection.
+fn connection_timeouts(gateway: &Gateway) -> (Duration, Duration) {
+    gateway.active_document().map_or((DEFAULT_HEAD_TIMEOUT, DEFAULT_IDLE_TIMEOUT), |document| {
         let limits = document.table.limits();
         (limits.head_timeout, limits.idle_timeout)
     })
 }
 
-/// Heads are short: looking this often finds a slow one soon enough.
-const LOOK_AT_MOST: Duration = Duration::from_millis(1_000);
+/// The maximum interval between time-out checks of a connection.
+const MAX_CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 
 fn next_check(gateway: &Gateway, watch: &ConnectionWatch) -> Instant {
-    let (head, _) = patience(gateway);
-    let soon = Instant::now() + LOOK_AT_MOST;
-    watch.head_began.get().map_or(soon, |began| soon.min(began + head))
+    let (head, _) = connection_timeouts(gateway);
+    let latest = Instant::now() + MAX_CHECK_INTERVAL;
+    watch.head_started_at.get().map_or(latest, |started_at| latest.min(started_at + head))
 }
 
 fn overdue(gateway: &Gateway, watch: &ConnectionWatch) -> Overdue {
-    let (head, idle) = patience(gateway);
-    if watch.under_way.get() > 0 {
+    let (head, idle) = connection_timeouts(gateway);
+    if watch.active_requests.get() > 0 {
         return Overdue::Nothing;
     }
-    match watch.head_began.get() {
-        Some(began) if began.elapsed() >= head => Overdue::Head,
+    match watch.head_started_at.get() {
+        Some(started_at) if started_at.elapsed() >= head => Overdue::Head,
         Some(_) => Overdue::Nothing,
         None if watch.idle_since.get().elapsed() >= idle => Overdue::Idle,
         None => Overdue::Nothing,
     }
 }
 
-/// A connection that notes when a head begins to arrive.
+/// A connection that records when a request's head begins to arrive.
 struct WatchedStream {
     stream: TcpStream,
     watch: Rc<ConnectionWatch>,
@@ -188,8 +193,11 @@
         let before = buf.filled().len();
         let polled = Pin::new(&mut this.stream).poll_read(cx, buf);
         let has_read = polled.is_ready() && buf.filled().len() > before;
-        if has_read && this.watch.under_way.get() == 0 && this.watch.head_began.get().is_none() {
-            this.watch.head_began.set(Some(Instant::now()));
+        if has_read
+            && this.watch.active_requests.get() == 0
+            && this.watch.head_started_at.get().is_none()
+        {
+            this.watch.head_started_at.set(Some(Instant::now()));
         }
         polled
     }
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -1,4 +1,5 @@
-//! The callers' listener: from a request's first byte to the last byte of its answer.
+//! Serves callers: accepts their connections, forwards their requests to endpoints and returns the
+//! answers.
 
 mod attempts;
 mod body;
--- a/crates/gateway/src/front/placement.rs
+++ b/crates/gateway/src/front/placement.rs
@@ -1,4 +1,4 @@
-//! The endpoint that a try goes to, held while the try lasts.
+//! Selects the endpoint for a send and keeps its load accounted for while the send lasts.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use oriolepass_units::EndpointStart;
 use tokio::time::Instant;
 
-use super::caller::{CallerRequest, SOON};
+use super::caller::{CallerRequest, SHORT_RETRY_AFTER};
 use super::reserve::Reservations;
 use crate::balancer::FaultKind;
 use crate::dialect::HelperAddress;
@@ -18,38 +18,40 @@
 use crate::gateway::Gateway;
 use crate::peers::ProgressNote;
 
-/// Tokens of an answer where the request does not say.
-const UNKNOWN_ANSWER_TOKENS: u64 = 1_024;
+/// The maximum length of an answer if the request does not state it.
+const DEFAULT_MAX_ANSWER_TOKENS: u64 = 1_024;
 
-/// The longest pause of a stream whose route does not say.
-const UNKNOWN_PAUSE: Duration = Duration::from_millis(500);
+/// The pause objective of a stream if its route does not state it.
+const DEFAULT_PAUSE_OBJECTIVE: Duration = Duration::from_millis(500);
 
-/// Why a plain service's request goes nowhere.
+/// The reason for refusing a request if no endpoint of its service accepts requests.
 const NO_ENDPOINT: &str = "no endpoint takes work";
 
-/// The reason that a try found no endpoint.
+/// The reason why no endpoint was selected for a send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum NoPlace {
-    /// No endpoint of the service takes work, or none is worth sending this request to; why, and
-    /// when to come back.
+pub(super) enum NoPlacement {
+    /// No endpoint of the service accepts requests, or none is suitable for this request at present.
+    /// Holds the reason and the time after which the caller should retry.
     NoEndpoint(&'static str, Duration),
-    /// It is not sent now, and waiting here would change nothing; why, and when to come back.
+    /// The request is not sent, and waiting in this daemon would not help. Holds the reason and the
+    /// time after which the caller should retry.
     Refused(&'static str, Duration),
-    /// Engines' memory could not be reserved.
+    /// Engine memory could not be reserved.
     NoMemory,
 }
 
-impl NoPlace {
-    /// Returns why, and when it is worth coming back.
-    pub(super) fn told(self) -> (&'static str, Duration) {
+impl NoPlacement {
+    /// Returns the reason and the time after which the caller should retry.
+    pub(super) fn reason_and_retry_after(self) -> (&'static str, Duration) {
         match self {
             Self::NoEndpoint(reason, after) | Self::Refused(reason, after) => (reason, after),
-            Self::NoMemory => ("no engine memory", SOON),
+            Self::NoMemory => ("no engine memory", SHORT_RETRY_AFTER),
         }
     }
 }
 
-/// An endpoint that a try goes to. Dropping it tells the home, and releases what is reserved.
+/// The endpoint selected for a send. Dropping it reports the end of the send to the prompt's home or
+/// to the balancer, and releases reserved engine memory.
 pub(super) struct Placement {
     gateway: Rc<Gateway>,
     pub(super) endpoint: EndpointStart,
@@ -63,13 +65,14 @@
 }
 
 impl Placement {
-    /// Finds an endpoint for a request.
+    /// Selects an endpoint for a request. `patience` is how long the request can still wait for an
+    /// endpoint.
     pub(super) async fn find(
         gateway: &Rc<Gateway>,
         request: &CallerRequest,
         avoid: &[EndpointStart],
         patience: Duration,
-    ) -> Result<Self, NoPlace> {
+    ) -> Result<Self, NoPlacement> {
         let began = Instant::now();
         let found = if request.service.engine.is_some() {
             Self::find_engine(gateway, request, avoid, patience).await
@@ -88,7 +91,7 @@
         gateway: &Rc<Gateway>,
         request: &CallerRequest,
         avoid: &[EndpointStart],
-    ) -> Result<Self, NoPlace> {
+    ) -> Result<Self, NoPlacement> {
         let chosen = {
             let registry = gateway.endpoints.borrow();
             let all: Vec<_> = registry.serving(&request.service.name).collect();
@@ -102,7 +105,8 @@
             let balancer = gateway.balancer.borrow();
             balancer.choose(now, &settings.data_centre, &candidates, rand::random()).cloned()
         };
-        let beat = chosen.ok_or_else(|| no_endpoint(gateway, request, NO_ENDPOINT, SOON))?;
+        let beat =
+            chosen.ok_or_else(|| no_endpoint(gateway, request, NO_ENDPOINT, SHORT_RETRY_AFTER))?;
         gateway.balancer.borrow_mut().begin(&beat.endpoint);
         Ok(Self {
             gateway: Rc::clone(gateway),
@@ -122,15 +126,15 @@
         request: &CallerRequest,
         avoid: &[EndpointStart],
         patience: Duration,
-    ) -> Result<Self, NoPlace> {
-        let ask = ask(gateway, request, avoid, patience);
+    ) -> Result<Self, NoPlacement> {
+        let ask = prompt_ask(gateway, request, avoid, patience);
         let (placed, by) = gateway.place_prompt(&request.id, &ask).await;
-        let plan = placed.map_err(|lack| {
-            let (reason, after) = (lack.reason.name(), lack.retry_after);
-            if lack.reason.may_pass_soon() {
+        let plan = placed.map_err(|error| {
+            let (reason, after) = (error.reason.name(), error.retry_after);
+            if error.reason.may_pass_soon() {
                 no_endpoint(gateway, request, reason, after)
             } else {
-                NoPlace::Refused(reason, after)
+                NoPlacement::Refused(reason, after)
             }
         })?;
         let mut placement = Self {
@@ -147,11 +151,11 @@
         let registry_address = |endpoint: &EndpointStart| {
             gateway.endpoints.borrow().takes_work(endpoint).map(|beat| beat.address)
         };
-        placement.address =
-            registry_address(&plan.main).ok_or(NoPlace::NoEndpoint(NO_ENDPOINT, SOON))?;
+        placement.address = registry_address(&plan.main)
+            .ok_or(NoPlacement::NoEndpoint(NO_ENDPOINT, SHORT_RETRY_AFTER))?;
         let mut to_reserve = Vec::new();
         for helper in &plan.helpers {
-            // One that has left meanwhile reads no part; the others read more.
+            // A helper that has left in the meantime reads no part, and the other engines read more.
             let Some(address) = registry_address(&helper.endpoint) else { continue };
             placement.helpers.push(HelperAddress { address, reservation: None });
             if let Some(tokens) = helper.reserve_tokens {
@@ -159,8 +163,8 @@
             }
         }
         if !to_reserve.is_empty() {
-            let held = Reservations::make(gateway, &request.id, &to_reserve).await;
-            let reservations = held.ok_or(NoPlace::NoMemory)?;
+            let held = Reservations::acquire(gateway, &request.id, &to_reserve).await;
+            let reservations = held.ok_or(NoPlacement::NoMemory)?;
             for (at, id) in reservations.ids() {
                 placement.helpers[at].reservation = Some(id.to_owned());
             }
@@ -169,15 +173,15 @@
         Ok(placement)
     }
 
-    /// Notes that the first event, or the answer, has come.
-    pub(super) fn begun(&self) {
+    /// Records that the first event or the answer has arrived.
+    pub(super) fn record_begun(&self) {
         if let Some(key) = self.key.filter(|_| !self.has_begun.replace(true)) {
             self.gateway.report_progress(ProgressNote::Begun(key));
         }
     }
 }
 
-/// Notes that an endpoint failed a request.
+/// Records that an endpoint failed a request.
 pub(super) fn endpoint_failed(
     gateway: &Gateway,
     request: &CallerRequest,
@@ -185,7 +189,7 @@
     fault: FaultKind,
 ) {
     gateway.endpoint_fault(&request.id, endpoint, fault);
-    // An engine that is full, or lacks memory for one prompt, may have room for the next.
+    // An engine that is full or lacks memory for one prompt may have capacity for the next prompt.
     if request.service.engine.is_some() && fault != FaultKind::Full {
         gateway.report_progress(ProgressNote::Failed(endpoint.clone()));
     }
@@ -200,7 +204,7 @@
     }
 }
 
-/// Returns the endpoints for which `is_preferred` holds, or all of them where it holds for none.
+/// Returns the endpoints for which `is_preferred` holds, or all endpoints if it holds for none.
 fn preferred_or_all(
     all: Vec<&EndpointBeat>,
     is_preferred: impl Fn(&EndpointBeat) -> bool,
@@ -209,27 +213,29 @@
     if matching.is_empty() { all } else { matching }
 }
 
-/// Says when to come back where a service has no endpoint. One that is not known at all is met
-/// with its next heartbeat, as after a start of all daemons.
+/// Returns the error for a service without a usable endpoint. If no endpoint of the service is known,
+/// as after a start of all daemons, the caller retries after a heartbeat interval, since endpoints
+/// become known with their next heartbeat.
 fn no_endpoint(
     gateway: &Gateway,
     request: &CallerRequest,
     reason: &'static str,
-    otherwise: Duration,
-) -> NoPlace {
+    retry_after: Duration,
+) -> NoPlacement {
     let is_known = gateway.endpoints.borrow().serving(&request.service.name).next().is_some();
     let heartbeat = gateway.settings().bounds.endpoint_heartbeat;
-    NoPlace::NoEndpoint(reason, if is_known { otherwise } else { heartbeat })
+    NoPlacement::NoEndpoint(reason, if is_known { retry_after } else { heartbeat })
 }
 
-fn ask(
+/// Builds the query that asks for the placement of a request's prompt.
+fn prompt_ask(
     gateway: &Rc<Gateway>,
     request: &CallerRequest,
     avoid: &[EndpointStart],
     patience: Duration,
 ) -> PromptAsk {
     let facts = &request.facts;
-    let max_answer = facts.max_answer_tokens.unwrap_or(UNKNOWN_ANSWER_TOKENS);
+    let max_answer = facts.max_answer_tokens.unwrap_or(DEFAULT_MAX_ANSWER_TOKENS);
     let spent = request.arrived.elapsed();
     PromptAsk {
         key: gateway.prompt_key(),
@@ -239,8 +245,8 @@
         max_answer_tokens: max_answer,
         objective: request.route.objective.saturating_sub(spent),
         whole_objective: request.route.objective,
-        pause: request.route.pause_objective.unwrap_or(UNKNOWN_PAUSE),
-        deadline: request.left(),
+        pause: request.route.pause_objective.unwrap_or(DEFAULT_PAUSE_OBJECTIVE),
+        deadline: request.time_left(),
         patience,
         avoid: avoid.to_vec(),
         is_suspect: gateway.standing(|| request.digest()) != Standing::Clear,
--- a/crates/gateway/src/front/presence.rs
+++ b/crates/gateway/src/front/presence.rs
@@ -1,9 +1,9 @@
-//! Whether an endpoint that answers nothing is still there.
+//! Detects that an endpoint that sends no answer is gone.
 //!
-//! Silence alone says little: a long prompt is read for seconds. An endpoint whose heartbeats have
-//! stopped as well, and that takes no new connection, is gone, however long its answer was
-//! predicted to take. Until that is noticed a request waits in vain, and holds memory on engines
-//! that others need.
+//! A missing answer alone is no evidence, since an engine reads a long prompt for seconds. An
+//! endpoint is gone if its heartbeats have stopped as well and it accepts no new connection,
+//! regardless of the predicted time of its answer. Until this is detected, a request waits in vain
+//! and holds engine memory that other requests need.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -16,18 +16,19 @@
 use crate::gateway::Gateway;
 use crate::upstream;
 
-/// Heartbeats that must be missing before an endpoint is looked for: one may be lost, and one late.
-/// With the time for two connections, one that is gone is noticed within four heartbeats.
-const MISSING_HEARTBEATS: f64 = 2.5;
+/// The silence before an endpoint is probed, in heartbeat intervals. One heartbeat may be lost and
+/// another late. Including the time for two connections, a lost endpoint is detected within four
+/// heartbeat intervals.
+const MAX_SILENT_HEARTBEATS: f64 = 2.5;
 
-/// The least time between two looks at the heartbeats.
-const LOOK_AT_LEAST: Duration = Duration::from_millis(250);
+/// The minimum interval between checks of the heartbeats.
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Between two connections to an endpoint whose heartbeats are missing and that takes connections.
-const CONNECT_AGAIN: Duration = Duration::from_millis(1_000);
+/// The interval between probes of an endpoint that sends no heartbeats but accepts connections.
+const PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Waits for an answer for as long as its endpoint is there; none once it is gone.
-pub(super) async fn while_present<T>(
+/// Waits for an answer while its endpoint is alive. Returns `None` once the endpoint is gone.
+pub(super) async fn while_alive<T>(
     gateway: &Gateway,
     request: &str,
     endpoint: &EndpointStart,
@@ -37,7 +38,7 @@
     tokio::select! {
         biased;
         answer = answer => Some(answer),
-        reason = until_gone(gateway, endpoint, address) => {
+        reason = wait_until_gone(gateway, endpoint, address) => {
             gateway
                 .line(EventKind::Endpoint)
                 .text("endpoint", endpoint)
@@ -49,30 +50,38 @@
     }
 }
 
-/// Waits until an endpoint is gone; returns how that showed.
-async fn until_gone(gateway: &Gateway, endpoint: &EndpointStart, address: SocketAddr) -> String {
-    let mut look_in = LOOK_AT_LEAST;
+/// Waits until an endpoint is gone. Returns the evidence as a text for the log.
+async fn wait_until_gone(
+    gateway: &Gateway,
+    endpoint: &EndpointStart,
+    address: SocketAddr,
+) -> String {
+    let mut check_delay = MIN_CHECK_INTERVAL;
     loop {
-        sleep(look_in).await;
-        let missing = gateway.settings().bounds.endpoint_heartbeat.mul_f64(MISSING_HEARTBEATS);
-        let (silence, present) = {
+        sleep(check_delay).await;
+        let max_silence =
+            gateway.settings().bounds.endpoint_heartbeat.mul_f64(MAX_SILENT_HEARTBEATS);
+        let (silence, occupant) = {
             let registry = gateway.endpoints.borrow();
             (registry.silence(gateway.now(), endpoint), registry.at(address))
         };
-        if let Some(silence) = silence.filter(|silence| *silence < missing) {
-            look_in = (missing - silence).max(LOOK_AT_LEAST);
+        if let Some(silence) = silence.filter(|silence| *silence < max_silence) {
+            check_delay = (max_silence - silence).max(MIN_CHECK_INTERVAL);
             continue;
         }
-        if let Some(other) = present.filter(|other| other != endpoint) {
-            return format!("no heartbeats, and {other} is at its address");
+        if let Some(other) = occupant.filter(|other| other != endpoint) {
+            return format!("no heartbeats, and its address now belongs to {other}");
         }
-        // One that has left may take no new connections and still finish what it has.
+        // An endpoint that has left may refuse new connections and still finish its requests.
         let has_left = silence.is_none();
         match upstream::connect(address).await {
             Err(failure) if !(failure.is_refusal && has_left) => {
-                return format!("no heartbeats, and no connection: {}", failure.reason);
+                return format!(
+                    "no heartbeats, and the probe connection failed: {}",
+                    failure.reason
+                );
             }
-            Ok(_) | Err(_) => look_in = CONNECT_AGAIN,
+            Ok(_) | Err(_) => check_delay = PROBE_INTERVAL,
         }
     }
 }
--- a/crates/gateway/src/front/refusal.rs
+++ b/crates/gateway/src/front/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of the gateway's own to requests that it does not or cannot serve.
+//! Builds the gateway's own responses to requests that it refuses or cannot complete.
 
 use std::time::Duration;
 
@@ -6,18 +6,18 @@
 use hyper::header::{CONNECTION, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-use super::body::FrontBody;
+use super::body::ResponseBody;
 
-/// An answer of the gateway's own.
+/// A response that the gateway itself gives instead of an endpoint's answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Refusal {
     pub(super) status: StatusCode,
     /// A short name for metrics and logs.
     pub(super) reason: &'static str,
-    /// What the caller can do about it.
+    /// The text for the caller: the cause, and what the caller can do.
     pub(super) remedy: String,
     pub(super) retry_after: Option<Duration>,
-    /// Whether the connection is of no use any more.
+    /// Whether the connection is closed after the response.
     pub(super) closes: bool,
 }
 
@@ -26,7 +26,8 @@
         Self { status, reason, remedy: remedy.into(), retry_after: None, closes: false }
     }
 
-    /// The request has not run and never will; it may be sent again after a while.
+    /// Creates the refusal of a request that has not run and never will. The caller may send it again
+    /// after `retry_after`.
     pub(super) fn not_run(reason: &'static str, retry_after: Duration) -> Self {
         let remedy = "the request was not run; send it again after the time given";
         Self {
@@ -35,13 +36,13 @@
         }
     }
 
-    /// The request may have run, and there is no answer.
+    /// Creates the refusal of a request that may have run and has no answer.
     pub(super) fn failed(reason: &'static str) -> Self {
         let remedy = "the request may have run, and its answer was lost";
         Self::new(StatusCode::BAD_GATEWAY, reason, remedy)
     }
 
-    /// The request's time is over.
+    /// Creates the refusal of a request whose deadline has passed.
     pub(super) fn timed_out(reason: &'static str) -> Self {
         let remedy = "the request's time is over; it may have run";
         Self::new(StatusCode::GATEWAY_TIMEOUT, reason, remedy)
@@ -52,9 +53,9 @@
         self
     }
 
-    pub(super) fn response(&self) -> Response<FrontBody> {
+    pub(super) fn response(&self) -> Response<ResponseBody> {
         let body = serde_json::json!({ "error": self.remedy, "reason": self.reason }).to_string();
-        let mut response = Response::new(FrontBody::Whole(Some(Bytes::from(body))));
+        let mut response = Response::new(ResponseBody::Buffered(Some(Bytes::from(body))));
         *response.status_mut() = self.status;
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
--- a/crates/gateway/src/front/reserve.rs
+++ b/crates/gateway/src/front/reserve.rs
@@ -1,12 +1,13 @@
-//! Memory of engines, reserved for a prompt that no single engine can hold.
+//! Reserves memory on several engines for a prompt that no single engine can ttl.
 //!
-//! Reservations are short and renewed while the prompt is under way, so that one whose holder
-//! dies is soon free again. All parts are reserved or none: the engines answer at once, nothing
-//! waits while it holds another part, so two prompts cannot block each other.
+//! Reservations are short-lived and renewed while the prompt is active, so that memory is soon
+//! released when the holder of a reservation crashes. Either all parts are reserved or none. Engines
+//! answer immediately and no request waits while it holds another part, so two prompts cannot
+//! deadlock.
 //!
-//! An order that got no answer may be carried out seconds later, also after a newer one. So once
-//! one went unanswered, a single release is not the last word: it is said again until no order
-//! can be on its way any more.
+//! An order (a reserve or release call) without an answer may take effect seconds later, even after a
+//! newer order. A single release is therefore not sufficient once an order went unanswered: the
+//! release is repeated until no earlier order can take effect any more.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -21,42 +22,43 @@
 use crate::gateway::Gateway;
 use crate::upstream;
 
-/// How long a reservation lasts: two renewals may fail before it ends, and memory of a holder
-/// that died is free again within the time that engines' memory may lie idle.
-const HOLD: Duration = Duration::from_millis(3_600);
+/// The lifetime of a reservation. Two renewals may fail before it expires, and the memory of a
+/// crashed holder is released within the time for which engine memory may be reserved unused.
+const RESERVATION_TTL: Duration = Duration::from_millis(3_600);
 
-/// Between two renewals.
-const RENEW_EVERY: Duration = Duration::from_millis(1_200);
+/// The interval between renewals.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(1_200);
 
-/// How long an order without an answer may still be carried out; the platform names 12 s.
-const ORDERS_LINGER: Duration = Duration::from_millis(13_000);
+/// The time after which an unanswered order can no longer take effect. The platform specifies 12 s.
+const ORDER_EFFECT_TIMEOUT: Duration = Duration::from_millis(13_000);
 
-/// Between two releases of what an order may set aside again: well below the 4 s for which memory
-/// may stay set aside after its last use.
-const RELEASE_AGAIN: Duration = Duration::from_millis(1_500);
+/// The interval between repeated releases. It is well below the 4 s for which memory may stay reserved
+/// after its last use.
+const RELEASE_RESEND_INTERVAL: Duration = Duration::from_millis(1_500);
 
 #[derive(Debug, Clone)]
 struct HeldPart {
-    /// Which of the plan's helpers holds it.
+    /// The index of the helper in the placement.
     helper: usize,
     address: SocketAddr,
     id: String,
     tokens: u64,
 }
 
-/// Memory held on several engines. Dropping it releases all of it.
+/// Memory reserved on several engines. All of it is released on drop.
 pub(super) struct Reservations {
     gateway: Rc<Gateway>,
     request: String,
     parts: Vec<HeldPart>,
-    renewing: Option<AbortHandle>,
-    /// When an order last went unanswered.
+    renewal_task: Option<AbortHandle>,
+    /// The time of the last unanswered order.
     unanswered: Rc<Cell<Option<Instant>>>,
 }
 
 impl Reservations {
-    /// Reserves all parts, given as (helper, address, tokens), or none.
-    pub(super) async fn make(
+    /// Reserves all parts, given as (helper, address, tokens). Returns `None` if any of them is not
+    /// reserved.
+    pub(super) async fn acquire(
         gateway: &Rc<Gateway>,
         request: &str,
         wanted: &[(usize, SocketAddr, u64)],
@@ -70,18 +72,18 @@
                 tokens: *tokens,
             })
             .collect();
-        // From here on, whatever was reserved is released when this is dropped.
+        // From here on, dropping `held` releases every part that was reserved.
         let mut held = Self {
             gateway: Rc::clone(gateway),
             request: request.to_owned(),
             parts,
-            renewing: None,
+            renewal_task: None,
             unanswered: Rc::default(),
         };
-        let hold = HOLD.min(gateway.settings().bounds.reservation_max);
-        let all = reserve_all(gateway.dialect, &held.parts, hold, &held.unanswered).await;
+        let ttl = RESERVATION_TTL.min(gateway.settings().bounds.reservation_max);
+        let all_held = reserve_all(gateway.dialect, &held.parts, ttl, &held.unanswered).await;
         let tokens: u64 = held.parts.iter().map(|part| part.tokens).sum();
-        let outcome = if all { "held" } else { "refused" };
+        let outcome = if all_held { "held" } else { "refused" };
         gateway.metrics.reservations.with_label_values(&[outcome]).inc();
         gateway
             .line(EventKind::Reservation)
@@ -89,23 +91,24 @@
             .number("engines", held.parts.len())
             .number("tokens", tokens)
             .text("outcome", outcome);
-        if !all {
+        if !all_held {
             return None;
         }
         let (dialect, parts) = (gateway.dialect, held.parts.clone());
         let unanswered = Rc::clone(&held.unanswered);
         let renewal = spawn_local(async move {
             loop {
-                sleep(RENEW_EVERY).await;
-                // One that cannot be renewed ends the request at its engine, which says so.
-                reserve_all(dialect, &parts, hold, &unanswered).await;
+                sleep(RENEWAL_INTERVAL).await;
+                // The result is ignored: if a reservation expires, its engine ends the request and
+                // reports that in its answer.
+                reserve_all(dialect, &parts, ttl, &unanswered).await;
             }
         });
-        held.renewing = Some(renewal.abort_handle());
+        held.renewal_task = Some(renewal.abort_handle());
         Some(held)
     }
 
-    /// Returns the reservations' ids with the helpers that hold them.
+    /// Returns the ids of the reservations, each with the index of its helper.
     pub(super) fn ids(&self) -> impl Iterator<Item = (usize, &str)> {
         self.parts.iter().map(|part| (part.helper, part.id.as_str()))
     }
@@ -114,19 +117,20 @@
 async fn reserve_all(
     dialect: WireDialect,
     parts: &[HeldPart],
-    hold: Duration,
+    ttl: Duration,
     unanswered: &Cell<Option<Instant>>,
 ) -> bool {
-    // Until the answers are there, the orders count as unanswered: this may be dropped meanwhile.
-    let before = unanswered.replace(Some(Instant::now()));
+    // The orders count as unanswered until all answers have arrived, since this future may be dropped
+    // before that.
+    let previous = unanswered.replace(Some(Instant::now()));
     let mut calls = JoinSet::new();
     for part in parts {
-        let call = (dialect.reserve)(&part.id, part.tokens, hold);
+        let call = (dialect.reserve)(&part.id, part.tokens, ttl);
         calls.spawn_local(upstream::call(part.address, call));
     }
     let answers = calls.join_all().await;
     if answers.iter().all(Option::is_some) {
-        unanswered.set(before);
+        unanswered.set(previous);
     }
     let is_held = |status: &Option<u16>| {
         status.is_some_and(|s| (dialect.read_reservation)(s) == ReservationAnswer::Held)
@@ -134,7 +138,7 @@
     answers.iter().all(is_held)
 }
 
-/// Releases all parts; returns how many engines did not answer.
+/// Releases all parts. Returns the number of engines that did not answer.
 async fn release_all(dialect: WireDialect, parts: &[HeldPart]) -> usize {
     let mut calls = JoinSet::new();
     for part in parts {
@@ -146,23 +150,23 @@
 
 impl Drop for Reservations {
     fn drop(&mut self) {
-        if let Some(renewing) = self.renewing.take() {
-            renewing.abort();
+        if let Some(renewal_task) = self.renewal_task.take() {
+            renewal_task.abort();
         }
         let (gateway, request) = (Rc::clone(&self.gateway), std::mem::take(&mut self.request));
         let (parts, unanswered) = (std::mem::take(&mut self.parts), self.unanswered.get());
         spawn_local(async move {
-            let missed = release_all(gateway.dialect, &parts).await;
+            let unanswered_releases = release_all(gateway.dialect, &parts).await;
             gateway
                 .line(EventKind::Reservation)
                 .text("request", request)
                 .number("engines", parts.len())
-                .number("unanswered", missed)
+                .number("unanswered", unanswered_releases)
                 .number("said_again", unanswered.is_some())
                 .text("outcome", "released");
-            while unanswered.is_some_and(|at| at.elapsed() < ORDERS_LINGER) {
-                sleep(RELEASE_AGAIN).await;
-                // Each one that is lost is followed by another.
+            while unanswered.is_some_and(|at| at.elapsed() < ORDER_EFFECT_TIMEOUT) {
+                sleep(RELEASE_RESEND_INTERVAL).await;
+                // The result is ignored: a lost release is followed by the next one.
                 release_all(gateway.dialect, &parts).await;
             }
         });
--- a/crates/gateway/src/front/sends.rs
+++ b/crates/gateway/src/front/sends.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one endpoint, and what its answer says.
+//! Sends a request to one endpoint and classifies the result.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,68 +10,70 @@
 use oriolepass_units::EndpointStart;
 
 use super::caller::CallerRequest;
-use super::ends::look_for_end;
-use super::headers::strip_hop_headers;
-use super::placement::{NoPlace, Placement, endpoint_failed};
-use super::presence::while_present;
-use super::stream::{EventSource, OpenStream, PieceEnd};
+use super::ends::probe_for_end;
+use super::headers::strip_hop_by_hop_headers;
+use super::placement::{NoPlacement, Placement, endpoint_failed};
+use super::presence::while_alive;
+use super::stream::{EventSource, NextEvents, OpenStream};
 use crate::balancer::FaultKind;
 use crate::dialect::{AnswerFacts, SendFacts};
 use crate::gateway::Gateway;
 use crate::upstream::{self, SendFailure, Upstream};
 
-/// The longest answer that is kept in memory before it is passed on.
+/// The maximum length of an answer that is buffered before it is forwarded.
 const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 
-/// An answer with its whole body.
-pub(super) type WholeAnswer = Response<Bytes>;
+/// An answer with its complete body.
+pub(super) type BufferedAnswer = Response<Bytes>;
 
-/// What came of one send.
-pub(super) enum TryEnd {
-    Answer(WholeAnswer),
+/// The outcome of one send.
+pub(super) enum SendOutcome {
+    Answer(BufferedAnswer),
     Stream(Box<OpenStream>),
-    /// It reached no endpoint.
-    NotArrived {
+    /// The request reached no endpoint.
+    NotDelivered {
         reason: String,
         endpoint: Option<EndpointStart>,
     },
-    /// It was not run, and never will be.
+    /// The request was not run and never will be.
     NotRun {
         reason: String,
         endpoint: Option<EndpointStart>,
     },
-    /// It may have run.
+    /// The request may have run.
     MayHaveRun {
         reason: String,
         endpoint: EndpointStart,
     },
-    /// It was not sent: the endpoint found for it has said meanwhile that it leaves.
+    /// The request was not sent, because the selected endpoint has announced in the meantime that it
+    /// leaves.
     Leaving(EndpointStart),
-    /// There is no endpoint to send it to.
-    NoPlace(NoPlace),
-    /// It must not be sent now; why, and when it is worth coming back.
-    Barred(&'static str, Duration),
+    /// No endpoint was selected.
+    NoPlacement(NoPlacement),
+    /// The request must not be sent now. Holds the reason and the time after which the caller should
+    /// retry.
+    Blocked(&'static str, Duration),
 }
 
-/// Sends a request once; one that may be sent again is given up as soon as its endpoint is gone.
+/// Sends a request once. A send of a repeatable request is abandoned as soon as its endpoint is gone.
 ///
-/// Any other is waited for in any case: what has run may still answer, and nothing else can be done
-/// for it.
+/// The answer to any other request is awaited even then: the request may have run and may still be
+/// answered, and it cannot be sent to another endpoint.
 pub(super) async fn send_once(
     gateway: &Rc<Gateway>,
     request: &CallerRequest,
     placement: Placement,
     last_event: Option<u64>,
-) -> TryEnd {
+) -> SendOutcome {
     if !request.route.repeat.may_repeat() {
         return exchange(gateway, request, placement, last_event).await;
     }
     let (endpoint, address) = (placement.endpoint.clone(), placement.address);
     let exchange = exchange(gateway, request, placement, last_event);
-    let end = while_present(gateway, &request.id, &endpoint, address, exchange).await;
+    let end = while_alive(gateway, &request.id, &endpoint, address, exchange).await;
     end.unwrap_or_else(|| {
         endpoint_failed(gateway, request, &endpoint, FaultKind::Unreachable);
-        TryEnd::MayHaveRun { reason: "the endpoint is gone".to_owned(), endpoint }
+        SendOutcome::MayHaveRun { reason: "the endpoint is gone".to_owned(), endpoint }
     })
 }
 
@@ -80,10 +82,10 @@
     request: &CallerRequest,
     placement: Placement,
     last_event: Option<u64>,
-) -> TryEnd {
-    let Some(message) = message(gateway, request, &placement, last_event) else {
-        let reason = "the request cannot be written".to_owned();
-        return TryEnd::NotArrived { reason, endpoint: None };
+) -> SendOutcome {
+    let Some(message) = build_message(gateway, request, &placement, last_event) else {
+        let reason = "the request message could not be built".to_owned();
+        return SendOutcome::NotDelivered { reason, endpoint: None };
     };
     match upstream::send(placement.address, message).await {
         Ok(upstream) => read_answer(gateway, request, placement, upstream, last_event).await,
@@ -91,13 +93,15 @@
             gateway.metrics.sends.with_label_values(&["not sent"]).inc();
             let endpoint = placement.endpoint.clone();
             endpoint_failed(gateway, request, &endpoint, FaultKind::Unreachable);
-            TryEnd::NotArrived { reason, endpoint: Some(endpoint) }
+            SendOutcome::NotDelivered { reason, endpoint: Some(endpoint) }
+        }
+        Err(SendFailure::Unknown(reason)) => {
+            handle_broken(gateway, request, &placement, reason).await
         }
-        Err(SendFailure::Unknown(reason)) => broken(gateway, request, &placement, reason).await,
     }
 }
 
-fn message(
+fn build_message(
     gateway: &Gateway,
     request: &CallerRequest,
     placement: &Placement,
@@ -105,7 +109,7 @@
 ) -> Option<Request<Full<Bytes>>> {
     let mut headers = request.headers.clone();
     let facts = SendFacts {
-        deadline: request.left(),
+        deadline: request.time_left(),
         endpoint: placement.endpoint.clone(),
         account: request.holder.as_ref().map(|holder| holder.account.clone()),
         engine_priority: placement.plan.as_ref().map(|plan| plan.engine_priority),
@@ -128,16 +132,16 @@
     placement: Placement,
     upstream: Upstream,
     last_event: Option<u64>,
-) -> TryEnd {
+) -> SendOutcome {
     let status = upstream.response.status();
     let facts = (gateway.dialect.read_answer)(upstream.response.headers());
     if facts.was_not_run || status == StatusCode::MISDIRECTED_REQUEST {
-        return not_run(gateway, request, &placement, status, &facts);
+        return handle_not_run(gateway, request, &placement, status, &facts);
     }
-    let is_own = facts.request_id.as_deref() == Some(request.id.as_str());
-    if !is_own || !facts.is_signed {
+    let is_for_request = facts.request_id.as_deref() == Some(request.id.as_str());
+    if !is_for_request || !facts.is_signed {
         let reason = format!("status {status} without proof that it answers this request");
-        return lost(gateway, request, &placement, reason);
+        return answer_lost(gateway, request, &placement, reason);
     }
     if request.route.repeat.is_stream() && status.is_success() {
         return open_stream(gateway, request, placement, upstream, last_event).await;
@@ -150,73 +154,81 @@
                 let endpoint = &placement.endpoint;
                 gateway.endpoint_fault(&request.id, endpoint, FaultKind::Failure);
             }
-            placement.begun();
+            placement.record_begun();
             gateway.answered_whole(|| request.digest());
-            TryEnd::Answer(Response::from_parts(passed_on(gateway, parts), body.to_bytes()))
+            SendOutcome::Answer(Response::from_parts(
+                forwarded_head(gateway, parts),
+                body.to_bytes(),
+            ))
         }
-        Err(error) => broken(gateway, request, &placement, error.to_string()).await,
+        Err(error) => handle_broken(gateway, request, &placement, error.to_string()).await,
     }
 }
 
-/// Waits for a stream's first event: until then it can still go elsewhere unnoticed.
+/// Waits for a stream's first event. Until it arrives, the request can be sent to another endpoint
+/// without the caller noticing.
 async fn open_stream(
     gateway: &Rc<Gateway>,
     request: &CallerRequest,
     placement: Placement,
     upstream: Upstream,
     last_event: Option<u64>,
-) -> TryEnd {
+) -> SendOutcome {
     let (parts, body) = upstream.response.into_parts();
     let mut source = EventSource::new(body, upstream.guard, last_event);
     let first = match source.next().await {
-        PieceEnd::Piece(first) => Some(first),
-        PieceEnd::Whole => None,
-        PieceEnd::Broken(reason) => return broken(gateway, request, &placement, reason).await,
+        NextEvents::Events(first) => Some(first),
+        NextEvents::Ended => None,
+        NextEvents::Broken(reason) => {
+            return handle_broken(gateway, request, &placement, reason).await;
+        }
     };
     gateway.metrics.sends.with_label_values(&["answered"]).inc();
-    placement.begun();
-    let head = passed_on(gateway, parts);
-    TryEnd::Stream(Box::new(OpenStream { head, first, source, placement }))
+    placement.record_begun();
+    let head = forwarded_head(gateway, parts);
+    SendOutcome::Stream(Box::new(OpenStream { head, first, source, placement }))
 }
 
-/// Returns the head of an endpoint's answer as its caller gets it.
-fn passed_on(gateway: &Gateway, mut parts: Parts) -> Parts {
-    strip_hop_headers(&mut parts.headers, gateway.dialect.is_essential);
+/// Converts the head of an endpoint's answer to the head that is forwarded to the caller.
+fn forwarded_head(gateway: &Gateway, mut parts: Parts) -> Parts {
+    strip_hop_by_hop_headers(&mut parts.headers, gateway.dialect.is_essential);
     parts.version = hyper::Version::HTTP_11;
     parts.extensions.clear();
     parts
 }
 
-/// Ends a send whose connection broke: the endpoint may have ended under it.
-async fn broken(
+/// Handles a send whose connection broke: probes whether the endpoint's process has ended.
+async fn handle_broken(
     gateway: &Gateway,
     request: &CallerRequest,
     placement: &Placement,
     reason: String,
-) -> TryEnd {
-    look_for_end(gateway, request, &placement.endpoint, placement.address).await;
-    lost(gateway, request, placement, reason)
+) -> SendOutcome {
+    probe_for_end(gateway, request, &placement.endpoint, placement.address).await;
+    answer_lost(gateway, request, placement, reason)
 }
 
-fn lost(
+/// Records that a send has no valid answer and that the request may have run.
+fn answer_lost(
     gateway: &Gateway,
     request: &CallerRequest,
     placement: &Placement,
     reason: String,
-) -> TryEnd {
+) -> SendOutcome {
     gateway.metrics.sends.with_label_values(&[FaultKind::Broken.name()]).inc();
     let endpoint = placement.endpoint.clone();
     endpoint_failed(gateway, request, &endpoint, FaultKind::Broken);
-    TryEnd::MayHaveRun { reason, endpoint }
+    SendOutcome::MayHaveRun { reason, endpoint }
 }
 
-fn not_run(
+/// Handles an answer that states that the request was not run.
+fn handle_not_run(
     gateway: &Gateway,
     request: &CallerRequest,
     placement: &Placement,
     status: StatusCode,
     facts: &AnswerFacts,
-) -> TryEnd {
+) -> SendOutcome {
     gateway.metrics.sends.with_label_values(&["not run"]).inc();
     let culprit = facts.culprit.and_then(|address| gateway.endpoints.borrow().at(address));
     let endpoint = culprit.unwrap_or_else(|| placement.endpoint.clone());
@@ -225,5 +237,5 @@
     } else {
         endpoint_failed(gateway, request, &endpoint, FaultKind::Full);
     }
-    TryEnd::NotRun { reason: format!("status {status}: not run"), endpoint: Some(endpoint) }
+    SendOutcome::NotRun { reason: format!("status {status}: not run"), endpoint: Some(endpoint) }
 }
--- a/crates/gateway/src/front/starting.rs
+++ b/crates/gateway/src/front/starting.rs
@@ -1,9 +1,10 @@
-//! Requests that come while a daemon starts: they wait for what it lacks yet, for a bounded while.
+//! Delays requests that arrive while a daemon starts, for a bounded time.
 //!
-//! After a loss of all daemons, callers are back within milliseconds, and most of them have used up
-//! their only retry: whoever is refused then is lost. A daemon that has just started lacks a document,
-//! the proof that it is current, and endpoints, and gets all of them within a second. So nearly all that
-//! come in that second are served, late at worst.
+//! After a loss of all daemons, callers reconnect within milliseconds, and most of them have used up
+//! their only retry, so a refusal at that point fails the request. A daemon that has just started lacks
+//! a routing document, the proof that the document is current, and endpoints, and obtains all of them
+//! within a second. Waiting therefore serves nearly all requests that arrive in that second, at worst
+//! late.
 
 use std::time::Duration;
 
@@ -12,35 +13,41 @@
 use crate::events::EventKind;
 use crate::gateway::Gateway;
 
-/// A daemon starts for this long at most: the first proof takes up to 1.2 s where all start at once on
-/// a tenth of a core, and endpoints announce themselves about as often.
-const STARTS_FOR: Duration = Duration::from_millis(1_500);
+/// The time after its start during which a daemon delays requests. The first proof takes up to 1.2 s if
+/// all daemons start at once on a tenth of a core, and endpoints announce themselves at a similar
+/// interval.
+const STARTUP_TIME: Duration = Duration::from_millis(1_500);
 
-/// The longest wait of one request. Callers take a request that nobody reads for a second for lost.
-const WAIT_AT_MOST: Duration = Duration::from_millis(900);
+/// The maximum delay of one request. Callers treat a request that is not read within a second as lost.
+const MAX_WAIT: Duration = Duration::from_millis(900);
 
-/// The part of its deadline that a request may wait; the rest is left to serve it.
-const WAIT_SHARE: f64 = 0.5;
+/// The part of its deadline for which a request may be delayed. The rest remains for serving it.
+const MAX_WAIT_SHARE: f64 = 0.5;
 
-/// The least time after which a refused caller is asked to come back.
-const COME_BACK_AT_LEAST: Duration = Duration::from_millis(400);
+/// The minimum `Retry-After` of a refusal by a starting daemon.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(400);
 
-/// Returns how long a request with `deadline` may wait for what this daemon still lacks; zero once it
-/// has started.
-pub(super) fn patience(gateway: &Gateway, deadline: Option<Duration>) -> Duration {
-    patience_after(gateway.clock.uptime(), deadline)
+/// Returns how long a request with `deadline` may wait for this daemon to become ready. Returns zero
+/// once the startup time has passed.
+pub(super) fn startup_wait(gateway: &Gateway, deadline: Option<Duration>) -> Duration {
+    startup_wait_at(gateway.clock.uptime(), deadline)
 }
 
-/// Returns the same for a daemon that started `uptime` ago.
-pub(super) fn patience_after(uptime: Duration, deadline: Option<Duration>) -> Duration {
-    let left = STARTS_FOR.saturating_sub(uptime).min(WAIT_AT_MOST);
-    deadline.map_or(left, |deadline| left.min(deadline.mul_f64(WAIT_SHARE)))
+/// Returns how long a request with `deadline` may wait in a daemon that started `uptime` ago.
+pub(super) fn startup_wait_at(uptime: Duration, deadline: Option<Duration>) -> Duration {
+    let wait = STARTUP_TIME.saturating_sub(uptime).min(MAX_WAIT);
+    deadline.map_or(wait, |deadline| wait.min(deadline.mul_f64(MAX_WAIT_SHARE)))
 }
 
-/// Waits until this daemon has a document that is proved current, or for as long as it may.
-pub(super) async fn until_serving(gateway: &Gateway, request: &str, deadline: Option<Duration>) {
-    let patience = patience(gateway, deadline);
-    if patience.is_zero() || is_serving(gateway) {
+/// Waits until this daemon has a document that is proved current, or until the request's maximum delay
+/// has passed.
+pub(super) async fn wait_until_serving(
+    gateway: &Gateway,
+    request: &str,
+    deadline: Option<Duration>,
+) {
+    let max_wait = startup_wait(gateway, deadline);
+    if max_wait.is_zero() || is_serving(gateway) {
         return;
     }
     let began = Instant::now();
@@ -53,8 +60,8 @@
             changed.await;
         }
     };
-    // What is still lacking then is told by whoever needs it.
-    let outcome = if timeout(patience, proved).await.is_ok() { "serving" } else { "not yet" };
+    // After a time-out, the later checks of the request report what is still missing.
+    let outcome = if timeout(max_wait, proved).await.is_ok() { "serving" } else { "not yet" };
     let waited = began.elapsed();
     gateway.metrics.start_waits.with_label_values(&[outcome]).observe(waited.as_secs_f64());
     gateway
@@ -69,7 +76,7 @@
     gateway.active_document().is_some() && gateway.is_fresh()
 }
 
-/// Says when to come back to a daemon that has just started.
-pub(super) fn until_settled(gateway: &Gateway) -> Duration {
-    STARTS_FOR.saturating_sub(gateway.clock.uptime()).max(COME_BACK_AT_LEAST)
+/// Returns the `Retry-After` of refusals by a daemon that has just started.
+pub(super) fn startup_retry_after(gateway: &Gateway) -> Duration {
+    STARTUP_TIME.saturating_sub(gateway.clock.uptime()).max(MIN_RETRY_AFTER)
 }
--- a/crates/gateway/src/front/starting_tests.rs
+++ b/crates/gateway/src/front/starting_tests.rs
@@ -1,28 +1,29 @@
-//! All callers back at once after a loss of all daemons: how long each may wait.
+//! Tests how long requests may wait in a starting daemon, to which all callers reconnect at once after
+//! a loss of all daemons.
 
 use std::time::Duration;
 
-use super::starting::patience_after;
+use super::starting::startup_wait_at;
 
 fn millis(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
 #[test]
-fn callers_that_are_back_right_after_a_start_wait_and_leave_time_to_be_served() {
-    // A stream with ten seconds left, and a call with one.
-    assert_eq!(patience_after(millis(20), Some(millis(10_000))), millis(900));
-    assert_eq!(patience_after(millis(20), Some(millis(1_000))), millis(500));
-    assert_eq!(patience_after(millis(20), None), millis(900), "a body may still come");
+fn requests_right_after_a_start_wait_and_keep_time_to_be_served() {
+    // A stream with a deadline of 10 s, then a call with a deadline of 1 s.
+    assert_eq!(startup_wait_at(millis(20), Some(millis(10_000))), millis(900));
+    assert_eq!(startup_wait_at(millis(20), Some(millis(1_000))), millis(500));
+    assert_eq!(startup_wait_at(millis(20), None), millis(900), "a request without a deadline");
 }
 
 #[test]
-fn a_daemon_that_has_started_lets_nobody_wait_for_a_start() {
+fn requests_do_not_wait_after_the_startup_time() {
     assert_eq!(
-        patience_after(millis(1_100), Some(millis(10_000))),
+        startup_wait_at(millis(1_100), Some(millis(10_000))),
         millis(400),
-        "what is left of it"
+        "the rest of the startup time"
     );
-    assert_eq!(patience_after(millis(1_500), Some(millis(10_000))), Duration::ZERO);
-    assert_eq!(patience_after(millis(60_000), None), Duration::ZERO);
+    assert_eq!(startup_wait_at(millis(1_500), Some(millis(10_000))), Duration::ZERO);
+    assert_eq!(startup_wait_at(millis(60_000), None), Duration::ZERO);
 }
--- a/crates/gateway/src/front/stream.rs
+++ b/crates/gateway/src/front/stream.rs
@@ -1,4 +1,4 @@
-//! Streams: whole events are passed on as they come; one that breaks off goes on elsewhere.
+//! Forwards streams event by event, and resumes a broken stream at another endpoint.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,41 +13,43 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep_until, timeout};
 
-use super::body::{BodyCut, FrontBody};
+use super::body::{BodyAborted, ResponseBody};
 use super::caller::{CallerRequest, EndGuard};
-use super::ends::look_for_end;
+use super::ends::probe_for_end;
 use super::events::EventSplitter;
 use super::placement::{Placement, endpoint_failed};
-use super::presence::while_present;
-use super::tries::{History, Verdict, may_resume};
+use super::presence::while_alive;
+use super::tries::{RequestOutcome, SendHistory, may_resume};
 use crate::balancer::FaultKind;
 use crate::events::EventKind;
 use crate::gateway::Gateway;
 use crate::upstream::{ConnectionGuard, describe};
 
-/// Pieces that wait for a caller that reads slowly; more are left with the endpoint.
-const PIECE_QUEUE: usize = 8;
+/// The maximum number of pieces queued for a slow caller. When the queue is full, the gateway stops
+/// reading from the endpoint.
+const MAX_QUEUED_PIECES: usize = 8;
 
-/// An endpoint is silent after this many times the longest pause that is on time...
-const SILENT_PAUSES: u32 = 4;
+/// An endpoint counts as silent after this multiple of the pause objective.
+const SILENCE_PAUSE_RATIO: u32 = 4;
 
-/// ...and not before this: a pass with a long prompt in it takes most of a second.
-const SILENT_AT_LEAST: Duration = Duration::from_millis(1_200);
+/// The minimum silence before an endpoint counts as silent. An engine pass with a long prompt takes
+/// most of a second.
+const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// The longest pause of a stream whose route does not say.
-const UNKNOWN_PAUSE: Duration = Duration::from_millis(500);
+/// The pause objective of a stream if its route does not state it.
+const DEFAULT_PAUSE_OBJECTIVE: Duration = Duration::from_millis(500);
 
-/// What an endpoint's stream brings next.
-pub(super) enum PieceEnd {
-    /// Whole events.
-    Piece(Bytes),
-    /// The stream has ended as it should.
-    Whole,
-    /// The stream broke off.
+/// The result of reading from an endpoint's stream.
+pub(super) enum NextEvents {
+    /// Complete events.
+    Events(Bytes),
+    /// The stream has ended properly.
+    Ended,
+    /// The stream broke before its end. Holds the reason.
     Broken(String),
 }
 
-/// An endpoint's stream as whole events.
+/// An endpoint's stream, read as complete events.
 pub(super) struct EventSource {
     body: Incoming,
     splitter: EventSplitter,
@@ -59,36 +61,38 @@
         Self { body, splitter: EventSplitter::new(last_event), _guard: guard }
     }
 
-    /// Returns the last event handed out.
+    /// Returns the id of the last event returned.
     pub(super) fn last_id(&self) -> Option<u64> {
         self.splitter.last_id()
     }
 
-    /// Waits for the next whole events. Nothing is lost when the wait is dropped.
-    pub(super) async fn next(&mut self) -> PieceEnd {
+    /// Waits for the next complete events. Cancel-safe: no data is lost if the future is dropped.
+    pub(super) async fn next(&mut self) -> NextEvents {
         loop {
             match self.body.frame().await {
                 Some(Ok(frame)) => {
                     let Ok(data) = frame.into_data() else { continue };
-                    let whole = self.splitter.push(&data);
-                    if !whole.is_empty() {
-                        return PieceEnd::Piece(whole);
+                    let events = self.splitter.push(&data);
+                    if !events.is_empty() {
+                        return NextEvents::Events(events);
                     }
                     if self.splitter.is_overlong() {
-                        return PieceEnd::Broken("an event without an end".to_owned());
+                        return NextEvents::Broken(
+                            "an event exceeds the maximum length".to_owned(),
+                        );
                     }
                 }
-                Some(Err(error)) => return PieceEnd::Broken(describe(&error)),
+                Some(Err(error)) => return NextEvents::Broken(describe(&error)),
                 None if self.splitter.has_partial() => {
-                    return PieceEnd::Broken("the stream ended within an event".to_owned());
+                    return NextEvents::Broken("the stream ended within an event".to_owned());
                 }
-                None => return PieceEnd::Whole,
+                None => return NextEvents::Ended,
             }
         }
     }
 }
 
-/// A stream whose first event has come, or which has ended without one.
+/// A stream whose first events have arrived, or that has ended without an event.
 pub(super) struct OpenStream {
     pub(super) head: Parts,
     pub(super) first: Option<Bytes>,
@@ -96,201 +100,209 @@
     pub(super) placement: Placement,
 }
 
-/// Starts passing a stream on, and returns the answer's head.
-pub(super) fn answer(
+/// Starts forwarding a stream, and returns the response to the caller.
+pub(super) fn start(
     gateway: &Rc<Gateway>,
     request: CallerRequest,
-    history: History,
+    history: SendHistory,
     open: Box<OpenStream>,
     guard: EndGuard,
-) -> Response<FrontBody> {
-    let (pieces, body) = mpsc::channel(PIECE_QUEUE);
+) -> Response<ResponseBody> {
+    let (pieces, body) = mpsc::channel(MAX_QUEUED_PIECES);
     let head = open.head.clone();
-    let pump = StreamPump { gateway: Rc::clone(gateway), request, history, pieces, guard };
-    spawn_local(pump.run(open));
-    Response::from_parts(head, FrontBody::Pieces(body))
+    let forwarder =
+        StreamForwarder { gateway: Rc::clone(gateway), request, history, pieces, guard };
+    spawn_local(forwarder.run(open));
+    Response::from_parts(head, ResponseBody::Streamed(body))
 }
 
-struct StreamPump {
+struct StreamForwarder {
     gateway: Rc<Gateway>,
     request: CallerRequest,
-    history: History,
-    pieces: mpsc::Sender<Result<Bytes, BodyCut>>,
+    history: SendHistory,
+    pieces: mpsc::Sender<Result<Bytes, BodyAborted>>,
     guard: EndGuard,
 }
 
-/// How passing a stream on came to its end.
-enum PumpEnd {
-    Whole,
+/// The way in which forwarding a stream ended.
+enum ForwardEnd {
+    Complete,
     CallerGone,
     TimeOver,
     Broken(String),
 }
 
-impl StreamPump {
+impl StreamForwarder {
     async fn run(mut self, open: Box<OpenStream>) {
         let end = {
             let pieces = self.pieces.clone();
-            let give_up = self.request.give_up;
+            let deadline = self.request.timer_deadline;
             tokio::select! {
-                end = self.pass_on(open) => end,
-                () = pieces.closed() => PumpEnd::CallerGone,
-                () = sleep_until(give_up) => PumpEnd::TimeOver,
+                end = self.forward_all(open) => end,
+                () = pieces.closed() => ForwardEnd::CallerGone,
+                () = sleep_until(deadline) => ForwardEnd::TimeOver,
             }
         };
-        self.guard.answered(self.history.sends());
+        self.guard.record_answer(self.history.sends());
         let (status, reason) = match &end {
-            PumpEnd::Whole => {
+            ForwardEnd::Complete => {
                 self.gateway.answered_whole(|| self.request.digest());
                 ("200", "whole")
             }
-            // The guard says so by itself.
-            PumpEnd::CallerGone => return,
-            PumpEnd::TimeOver => ("cut", "time over"),
-            PumpEnd::Broken(reason) => ("cut", reason.as_str()),
+            // Dropping the guard records that the caller is gone.
+            ForwardEnd::CallerGone => return,
+            ForwardEnd::TimeOver => ("cut", "time over"),
+            ForwardEnd::Broken(reason) => ("cut", reason.as_str()),
         };
-        if !matches!(end, PumpEnd::Whole) {
-            // A queue that is full is dropped with the rest: the connection ends all the same.
-            let _ = self.pieces.try_send(Err(BodyCut));
+        if !matches!(end, ForwardEnd::Complete) {
+            // A full queue is not an error: dropping the sender ends the connection as well.
+            let _ = self.pieces.try_send(Err(BodyAborted));
         }
         self.guard.end(status, reason);
     }
 
-    async fn pass_on(&mut self, mut open: Box<OpenStream>) -> PumpEnd {
+    async fn forward_all(&mut self, mut open: Box<OpenStream>) -> ForwardEnd {
         loop {
             if let Some(first) = open.first.take()
-                && let Err(end) = self.pass(first).await
+                && let Err(end) = self.forward(first).await
             {
                 return end;
             }
-            open = match self.pass_on_one(open).await {
+            open = match self.forward_from(open).await {
                 Ok(next) => next,
                 Err(end) => return end,
             };
         }
     }
 
-    /// Passes one endpoint's events on until they end, or until the stream goes on at another
-    /// endpoint, which is returned.
-    async fn pass_on_one(&mut self, mut open: Box<OpenStream>) -> Result<Box<OpenStream>, PumpEnd> {
-        let pause = self.request.route.pause_objective.unwrap_or(UNKNOWN_PAUSE);
-        let mut silence = (pause * SILENT_PAUSES).max(SILENT_AT_LEAST);
+    /// Forwards one endpoint's events until the stream ends or is resumed at another endpoint. Returns
+    /// the stream of the other endpoint.
+    async fn forward_from(
+        &mut self,
+        mut open: Box<OpenStream>,
+    ) -> Result<Box<OpenStream>, ForwardEnd> {
+        let pause = self.request.route.pause_objective.unwrap_or(DEFAULT_PAUSE_OBJECTIVE);
+        let mut silence_timeout = (pause * SILENCE_PAUSE_RATIO).max(MIN_SILENCE_TIMEOUT);
         loop {
-            match timeout(silence, self.next_piece(&mut open)).await {
-                Ok(PieceEnd::Piece(piece)) => self.pass(piece).await?,
-                Ok(PieceEnd::Whole) => return Err(PumpEnd::Whole),
-                Ok(PieceEnd::Broken(reason)) => {
+            match timeout(silence_timeout, self.next_piece(&mut open)).await {
+                Ok(NextEvents::Events(piece)) => self.forward(piece).await?,
+                Ok(NextEvents::Ended) => return Err(ForwardEnd::Complete),
+                Ok(NextEvents::Broken(reason)) => {
                     let (endpoint, last) = (open.placement.endpoint.clone(), open.source.last_id());
-                    self.broke(&open).await;
+                    self.record_broken(&open).await;
                     drop(open);
-                    return self.move_on(endpoint, last, &reason).await;
+                    return self.resume_elsewhere(endpoint, last, &reason).await;
                 }
                 Err(_) => {
-                    if let Some(next) = self.look_elsewhere(&mut open, silence).await? {
+                    if let Some(next) =
+                        self.resume_silent_stream(&mut open, silence_timeout).await?
+                    {
                         return Ok(next);
                     }
-                    // It is worth another look only after a good while longer.
-                    silence += SILENT_AT_LEAST / 2;
+                    // The next attempt to resume elsewhere follows only after a longer silence.
+                    silence_timeout += MIN_SILENCE_TIMEOUT / 2;
                 }
             }
         }
     }
 
-    /// Waits for an endpoint's next events; a stream that can go on elsewhere has broken off once
+    /// Waits for an endpoint's next events. A stream that can be resumed elsewhere counts as broken once
     /// its endpoint is gone.
-    async fn next_piece(&self, open: &mut OpenStream) -> PieceEnd {
-        if !self.can_move() {
+    async fn next_piece(&self, open: &mut OpenStream) -> NextEvents {
+        if !self.can_resume() {
             return open.source.next().await;
         }
         let (endpoint, address) = (&open.placement.endpoint, open.placement.address);
         let next = open.source.next();
-        let piece = while_present(&self.gateway, &self.request.id, endpoint, address, next).await;
-        piece.unwrap_or_else(|| PieceEnd::Broken("the endpoint is gone".to_owned()))
+        let piece = while_alive(&self.gateway, &self.request.id, endpoint, address, next).await;
+        piece.unwrap_or_else(|| NextEvents::Broken("the endpoint is gone".to_owned()))
     }
 
-    /// Notes that an endpoint's stream broke off, and looks whether the endpoint has ended.
-    async fn broke(&self, open: &OpenStream) {
+    /// Records that an endpoint's stream broke, and probes whether the endpoint's process has ended.
+    async fn record_broken(&self, open: &OpenStream) {
         let (endpoint, address) = (&open.placement.endpoint, open.placement.address);
         endpoint_failed(&self.gateway, &self.request, endpoint, FaultKind::Broken);
-        look_for_end(&self.gateway, &self.request, endpoint, address).await;
+        probe_for_end(&self.gateway, &self.request, endpoint, address).await;
     }
 
-    async fn pass(&mut self, piece: Bytes) -> Result<(), PumpEnd> {
-        self.guard.piece();
-        self.pieces.send(Ok(piece)).await.map_err(|_| PumpEnd::CallerGone)
+    async fn forward(&mut self, piece: Bytes) -> Result<(), ForwardEnd> {
+        self.guard.record_piece();
+        self.pieces.send(Ok(piece)).await.map_err(|_| ForwardEnd::CallerGone)
     }
 
-    fn can_move(&self) -> bool {
+    /// Returns whether the stream may be resumed at another endpoint.
+    fn can_resume(&self) -> bool {
         may_resume(&self.request) && self.history.may_run_again(&self.request)
     }
 
-    fn begin_move(&mut self, endpoint: EndpointStart, last_event: Option<u64>, reason: &str) {
+    /// Logs a resume and records the failed endpoint and the last event in the request's history.
+    fn begin_resume(&mut self, endpoint: EndpointStart, last_event: Option<u64>, reason: &str) {
         self.gateway
             .line(EventKind::Resume)
             .text("request", &self.request.id)
             .text("from", &endpoint)
             .maybe("after_event", last_event)
-            .millis("left_ms", self.request.left())
+            .millis("left_ms", self.request.time_left())
             .text("reason", reason);
         self.gateway.metrics.resumes.inc();
-        self.history.stream_broke(endpoint, last_event);
+        self.history.record_broken_stream(endpoint, last_event);
     }
 
-    /// Lets a stream that has broken off go on at another endpoint.
-    async fn move_on(
+    /// Resumes a broken stream at another endpoint.
+    async fn resume_elsewhere(
         &mut self,
         endpoint: EndpointStart,
         last_event: Option<u64>,
         reason: &str,
-    ) -> Result<Box<OpenStream>, PumpEnd> {
-        if !self.can_move() {
-            return Err(PumpEnd::Broken(reason.to_owned()));
+    ) -> Result<Box<OpenStream>, ForwardEnd> {
+        if !self.can_resume() {
+            return Err(ForwardEnd::Broken(reason.to_owned()));
         }
-        self.begin_move(endpoint, last_event, reason);
-        let next = match self.history.try_until_answered(&self.gateway, &self.request).await {
-            Verdict::Stream(next) => return Ok(next),
-            Verdict::Answer(answer) => format!("status {}", answer.status()),
-            Verdict::Refusal(refusal) => refusal.reason.to_owned(),
+        self.begin_resume(endpoint, last_event, reason);
+        let next = match self.history.send_until_answered(&self.gateway, &self.request).await {
+            RequestOutcome::Stream(next) => return Ok(next),
+            RequestOutcome::Answer(answer) => format!("status {}", answer.status()),
+            RequestOutcome::Refusal(refusal) => refusal.reason.to_owned(),
         };
-        Err(PumpEnd::Broken(format!("{reason}; then {next}")))
+        Err(ForwardEnd::Broken(format!("{reason}; then {next}")))
     }
 
-    /// Looks for another endpoint for a stream that is silent, without leaving the one that it
-    /// has: silence is no proof, and what it has may still come. Returns the other one if its
-    /// first event comes before the silence ends.
-    async fn look_elsewhere(
+    /// Tries to resume a silent stream at another endpoint without closing the current stream. Silence
+    /// does not prove a failure, and the current endpoint may still send events. Returns the stream of
+    /// the other endpoint if its first event arrives before the silence ends.
+    async fn resume_silent_stream(
         &mut self,
         open: &mut OpenStream,
         silence: Duration,
-    ) -> Result<Option<Box<OpenStream>>, PumpEnd> {
+    ) -> Result<Option<Box<OpenStream>>, ForwardEnd> {
         let endpoint = open.placement.endpoint.clone();
-        if !self.can_move() || self.gateway.silence_is_expected(&endpoint, silence).await {
+        if !self.can_resume() || self.gateway.silence_is_expected(&endpoint, silence).await {
             return Ok(None);
         }
         endpoint_failed(&self.gateway, &self.request, &endpoint, FaultKind::Silent);
         let reason = format!("no event in {} ms", silence.as_millis());
-        self.begin_move(endpoint.clone(), open.source.last_id(), &reason);
-        let mut moved = Box::pin(self.history.try_until_answered(&self.gateway, &self.request));
+        self.begin_resume(endpoint.clone(), open.source.last_id(), &reason);
+        let mut resumed = Box::pin(self.history.send_until_answered(&self.gateway, &self.request));
         tokio::select! {
             piece = open.source.next() => match piece {
-                PieceEnd::Piece(piece) => {
-                    drop(moved);
-                    self.pass(piece).await?;
+                NextEvents::Events(piece) => {
+                    drop(resumed);
+                    self.forward(piece).await?;
                     Ok(None)
                 }
-                PieceEnd::Whole => Err(PumpEnd::Whole),
-                PieceEnd::Broken(reason) => {
-                    look_for_end(&self.gateway, &self.request, &endpoint, open.placement.address)
+                NextEvents::Ended => Err(ForwardEnd::Complete),
+                NextEvents::Broken(reason) => {
+                    probe_for_end(&self.gateway, &self.request, &endpoint, open.placement.address)
                         .await;
-                    match moved.await {
-                        Verdict::Stream(next) => Ok(Some(next)),
-                        _ => Err(PumpEnd::Broken(reason)),
+                    match resumed.await {
+                        RequestOutcome::Stream(next) => Ok(Some(next)),
+                        _ => Err(ForwardEnd::Broken(reason)),
                     }
                 }
             },
-            verdict = &mut moved => match verdict {
-                Verdict::Stream(next) => Ok(Some(next)),
-                Verdict::Answer(_) | Verdict::Refusal(_) => Ok(None),
+            outcome = &mut resumed => match outcome {
+                RequestOutcome::Stream(next) => Ok(Some(next)),
+                RequestOutcome::Answer(_) | RequestOutcome::Refusal(_) => Ok(None),
             },
         }
     }
--- a/crates/gateway/src/front/tries.rs
+++ b/crates/gateway/src/front/tries.rs
@@ -1,9 +1,10 @@
-//! Sends of one request: what each brought, and what follows from it.
+//! Implements the retry and hedging policy of a request: decides after each send whether the request
+//! is sent again, answered or refused.
 //!
-//! The rules are few. An endpoint's own word that a request was not run, or a connection that
-//! never came about, leaves a request as it was: it may go elsewhere, or be refused truthfully.
-//! After anything else it may have run: then only an idempotent one, or a stream that can go on
-//! after its last event, is sent again; any other gets its failure at once.
+//! If an endpoint states that it did not run the request, or if no connection was established, the
+//! request has not run. It may be sent to another endpoint, or be refused as not run. After any other
+//! failure the request may have run. In that case only an idempotent request, or a stream that can be
+//! resumed after its last event, is sent again. Any other request fails immediately.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,93 +15,98 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::attempts::AttemptCount;
-use super::caller::{AFTER_ELECTION, CallerRequest};
-use super::placement::{NoPlace, Placement, endpoint_failed};
+use super::caller::{CallerRequest, ELECTION_RETRY_AFTER};
+use super::placement::{NoPlacement, Placement, endpoint_failed};
 use super::refusal::Refusal;
-use super::sends::{TryEnd, WholeAnswer, send_once};
+use super::sends::{BufferedAnswer, SendOutcome, send_once};
 use super::stream::OpenStream;
-use super::try_lines::no_place;
+use super::try_lines::no_place_line;
 use crate::balancer::FaultKind;
 use crate::gateway::Gateway;
 
-/// Sends of one request at most, those included that no endpoint ran.
+/// The maximum number of sends of one request, including sends that no endpoint ran.
 const MAX_SENDS: u32 = 4;
 
-/// The part of the objective for which a request waits for an endpoint before it is refused: a longer wait
-/// holds more requests in vain than it serves.
-const WAIT_SHARE: f64 = 0.22;
+/// The part of the objective for which a request waits for an endpoint before it is refused. With a
+/// longer wait, more requests wait in vain than are served additionally.
+const ENDPOINT_WAIT_SHARE: f64 = 0.22;
 
-/// The pause before a place is looked for again.
-const LOOK_AGAIN: Duration = Duration::from_millis(25);
+/// The delay between attempts to find an endpoint.
+const ENDPOINT_RETRY_DELAY: Duration = Duration::from_millis(25);
 
-/// How long another place is looked for after an endpoint was lost with the request.
-const LOOK_AFTER_LOSS: Duration = Duration::from_millis(500);
+/// The time for which a request waits for another endpoint after its endpoint was lost.
+const ENDPOINT_WAIT_AFTER_LOSS: Duration = Duration::from_millis(500);
 
-/// The part of the objective after which an idempotent call that has no answer is sent to
-/// another endpoint: far above the usual time of a call, and early enough for the second answer
-/// to be on time.
-const CALL_SILENCE_SHARE: f64 = 0.65;
+/// The part of the objective after which an idempotent call without an answer is also sent to a second
+/// endpoint. It is far above the usual duration of a call and leaves time for the second answer to
+/// meet the objective.
+const CALL_HEDGE_SHARE: f64 = 0.65;
 
-/// A stream's first event is overdue at this many times its predicted time...
-const FIRST_EVENT_STRETCH: f64 = 2.5;
+/// A stream's first event is overdue after this multiple of its predicted time, plus
+/// `FIRST_EVENT_GRACE`, but not before `FIRST_EVENT_OBJECTIVE_RATIO` times the objective.
+const FIRST_EVENT_RATIO: f64 = 2.5;
 
-/// ...and this much later...
-const FIRST_EVENT_SLACK: Duration = Duration::from_millis(500);
+/// The time added to the scaled prediction of a stream's first event.
+const FIRST_EVENT_GRACE: Duration = Duration::from_millis(500);
 
-/// ...and not before this many times the objective.
-const FIRST_EVENT_OBJECTIVES: f64 = 1.2;
+/// The minimum time until a stream's first event is overdue, as a multiple of the objective.
+const FIRST_EVENT_OBJECTIVE_RATIO: f64 = 1.2;
 
-/// With less time left than this a second endpoint would not answer either.
-const WORTH_SENDING: Duration = Duration::from_millis(150);
+/// The minimum remaining time for a hedged send. With less time, a second endpoint would not answer in
+/// time either.
+const MIN_HEDGE_TIME_LEFT: Duration = Duration::from_millis(150);
 
-/// Longer than any request.
-const FOREVER: Duration = Duration::from_secs(24 * 3_600);
+/// The hedge time-out of requests that are not hedged. It is longer than any request.
+const UNHEDGED_TIMEOUT: Duration = Duration::from_secs(24 * 3_600);
 
-/// Where a service answers that it is full, callers come back after this long.
-const FULL_AGAIN: Duration = Duration::from_millis(250);
+/// The `Retry-After` of refusals because a service's endpoints are full. It is also used for refusals
+/// without a delay of their own.
+const FULL_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// What a request is judged by is waited for this long after an endpoint has ended under it: the other
-/// requests that ran there may be those of other instances, which say so within some hops.
-const NEWS_OF_END: Duration = Duration::from_millis(40);
+/// The delay after the end of an endpoint before a request that ran there is judged by the quarantine.
+/// Other requests that ran at the endpoint may belong to other instances, whose reports arrive within
+/// a few hops.
+const END_REPORT_GRACE: Duration = Duration::from_millis(40);
 
-/// Why a request that ends its endpoints is not sent.
+/// The reason for refusing a quarantined request.
 const QUARANTINED: &str = "the request ends its endpoints";
 
-/// What came of a request.
-pub(super) enum Verdict {
-    /// An endpoint's answer, to be passed on as it is.
-    Answer(WholeAnswer),
-    /// An endpoint's stream, whose first event has come.
+/// The outcome of a request.
+pub(super) enum RequestOutcome {
+    /// An endpoint's answer, which is forwarded unchanged.
+    Answer(BufferedAnswer),
+    /// An endpoint's stream whose first events have arrived, or that has ended without an event.
     Stream(Box<OpenStream>),
-    /// An answer of the gateway's own.
+    /// A response of the gateway itself.
     Refusal(Refusal),
 }
 
-/// The sends of one request so far.
-pub(super) struct History {
+/// The state of one request across its sends.
+pub(super) struct SendHistory {
     attempts: AttemptCount,
     /// Endpoints that failed this request.
     avoid: Vec<EndpointStart>,
-    /// The last event that the caller has.
+    /// The id of the last event that the caller has.
     pub(super) last_event: Option<u64>,
-    /// A failure that an endpoint answered, for want of anything better.
-    failure: Option<WholeAnswer>,
-    /// Until when an endpoint is looked for.
-    wait_until: Instant,
-    /// Whether its next send is one that a quarantined request is granted after a long time.
+    /// A server error from an endpoint, which is returned if no other answer arrives.
+    failure: Option<BufferedAnswer>,
+    /// The time until which the request waits for an endpoint.
+    endpoint_wait_until: Instant,
+    /// Whether the next send is a trial, which a quarantined request is granted after a long time.
     is_trial: bool,
 }
 
-impl History {
-    /// Starts a request's history; `start_wait` is how long it may wait for this daemon to start.
+impl SendHistory {
+    /// Creates a request's history. `start_wait` is how long the request may wait for this daemon to
+    /// start.
     pub(super) fn new(request: &CallerRequest, start_wait: Duration) -> Self {
-        let wait = request.route.objective.mul_f64(WAIT_SHARE).max(start_wait);
+        let wait = request.route.objective.mul_f64(ENDPOINT_WAIT_SHARE).max(start_wait);
         Self {
             attempts: AttemptCount::default(),
             avoid: Vec::new(),
             last_event: request.facts.resume_after,
             failure: None,
-            wait_until: Instant::now() + wait,
+            endpoint_wait_until: Instant::now() + wait,
             is_trial: false,
         }
     }
@@ -109,7 +115,7 @@
         self.attempts.sends()
     }
 
-    /// Returns on how many endpoints the request may have run.
+    /// Returns on how many endpoints the request may have run or may still run.
     pub(super) fn runs(&self) -> u32 {
         self.attempts.runs()
     }
@@ -118,14 +124,19 @@
         self.runs() > 0
     }
 
-    /// Notes that a stream broke off after its first event, so that it can go on elsewhere.
-    pub(super) fn stream_broke(&mut self, endpoint: EndpointStart, last_event: Option<u64>) {
+    /// Records that a stream broke or fell silent after its first event, before it is resumed at another
+    /// endpoint.
+    pub(super) fn record_broken_stream(
+        &mut self,
+        endpoint: EndpointStart,
+        last_event: Option<u64>,
+    ) {
         self.avoid.push(endpoint);
         self.last_event = last_event;
-        self.wait_until = Instant::now() + LOOK_AFTER_LOSS;
+        self.endpoint_wait_until = Instant::now() + ENDPOINT_WAIT_AFTER_LOSS;
     }
 
-    /// Returns whether the request may be sent once more after it may have run.
+    /// Returns whether the request may run once more after it may have run.
     pub(super) fn may_run_again(&self, request: &CallerRequest) -> bool {
         request.route.repeat.may_repeat() && self.attempts.runs() < request.route.max_attempts
     }
@@ -134,14 +145,14 @@
         self.may_run_again(request) && self.sends() < MAX_SENDS
     }
 
-    /// Sends a request until it has an answer or is given up.
+    /// Sends a request until it has an answer or no further send is allowed.
     ///
-    /// To be dropped when the request's time is over.
-    pub(super) async fn try_until_answered(
+    /// The caller drops the future when the request's time is over.
+    pub(super) async fn send_until_answered(
         &mut self,
         gateway: &Rc<Gateway>,
         request: &CallerRequest,
-    ) -> Verdict {
+    ) -> RequestOutcome {
         loop {
             let end = match self.begin_send(gateway, request).await {
                 Ok(placement) => self.send_hedged(gateway, request, placement).await,
@@ -153,44 +164,45 @@
         }
     }
 
-    /// Sends a request, and sends it to a second endpoint as well where the first one is silent
-    /// for too long and it may run twice. Whichever answers first is taken: an endpoint that is
-    /// merely slow is not given up for one that may be no faster.
+    /// Sends a request, and also sends it to a second endpoint if the first endpoint does not answer
+    /// in time and the request may run twice. The first answer is used. The first send is not
+    /// abandoned, since the second endpoint may be no faster than a slow first endpoint.
     async fn send_hedged(
         &mut self,
         gateway: &Rc<Gateway>,
         request: &CallerRequest,
         placement: Placement,
-    ) -> TryEnd {
-        let patience = self.patience(request, &placement);
-        let silent = placement.endpoint.clone();
+    ) -> SendOutcome {
+        let hedge_timeout = self.hedge_timeout(request, &placement);
+        let first_endpoint = placement.endpoint.clone();
         let mut first = std::pin::pin!(send_once(gateway, request, placement, self.last_event));
         let began = Instant::now();
         loop {
-            if let Ok(end) = timeout(patience, &mut first).await {
+            if let Ok(end) = timeout(hedge_timeout, &mut first).await {
                 return end;
             }
             let is_engine = request.service.engine.is_some();
             let silence = began.elapsed();
-            if !is_engine || !gateway.silence_is_expected(&silent, silence).await {
+            if !is_engine || !gateway.silence_is_expected(&first_endpoint, silence).await {
                 break;
             }
         }
-        endpoint_failed(gateway, request, &silent, FaultKind::Silent);
-        self.log_failure(gateway, request, Some(&silent), "silent", true);
-        self.avoid.push(silent);
-        if !self.may_send_again(request) || request.left() < WORTH_SENDING {
+        endpoint_failed(gateway, request, &first_endpoint, FaultKind::Silent);
+        self.log_failure(gateway, request, Some(&first_endpoint), "silent", true);
+        self.avoid.push(first_endpoint);
+        if !self.may_send_again(request) || request.time_left() < MIN_HEDGE_TIME_LEFT {
             return first.await;
         }
         let placement = match self.begin_send(gateway, request).await {
             Ok(placement) => placement,
             Err(end) => {
                 let reason = match end {
-                    TryEnd::NoPlace(lack) => lack.told().0,
-                    TryEnd::Barred(reason, _) => reason,
+                    SendOutcome::NoPlacement(error) => error.reason_and_retry_after().0,
+                    SendOutcome::Blocked(reason, _) => reason,
                     _ => "the endpoint is leaving",
                 };
-                no_place(gateway, request, reason).text("next", "wait for the silent endpoint");
+                no_place_line(gateway, request, reason)
+                    .text("next", "wait for the silent endpoint");
                 return first.await;
             }
         };
@@ -200,47 +212,50 @@
             end = &mut second => (end, false),
         };
         match end {
-            TryEnd::Answer(_) | TryEnd::Stream(_) => return end,
-            TryEnd::NotRun { .. } => self.attempts.was_not_run(),
-            TryEnd::NotArrived { .. } => self.attempts.did_not_arrive(),
+            SendOutcome::Answer(_) | SendOutcome::Stream(_) => return end,
+            SendOutcome::NotRun { .. } => self.attempts.record_not_run(),
+            SendOutcome::NotDelivered { .. } => self.attempts.record_not_delivered(),
             _ => {}
         }
         if first_ended { second.await } else { first.await }
     }
 
-    /// Returns what the request comes to; none where it is to be sent again.
+    /// Returns the outcome of the request after a send, or `None` if the request is to be sent again.
     async fn conclude(
         &mut self,
         gateway: &Gateway,
         request: &CallerRequest,
-        end: TryEnd,
-    ) -> Option<Verdict> {
+        end: SendOutcome,
+    ) -> Option<RequestOutcome> {
         match end {
-            TryEnd::Stream(open) => Some(Verdict::Stream(open)),
-            TryEnd::Answer(answer) => self.conclude_answer(request, answer),
-            TryEnd::NotRun { reason, endpoint } => {
-                self.attempts.was_not_run();
+            SendOutcome::Stream(open) => Some(RequestOutcome::Stream(open)),
+            SendOutcome::Answer(answer) => self.conclude_answer(request, answer),
+            SendOutcome::NotRun { reason, endpoint } => {
+                self.attempts.record_not_run();
                 self.conclude_not_run(gateway, request, &reason, endpoint)
             }
-            TryEnd::NotArrived { reason, endpoint } => {
-                self.attempts.did_not_arrive();
+            SendOutcome::NotDelivered { reason, endpoint } => {
+                self.attempts.record_not_delivered();
                 self.conclude_not_run(gateway, request, &reason, endpoint)
             }
-            TryEnd::Leaving(endpoint) => {
+            SendOutcome::Leaving(endpoint) => {
                 let reason = "the endpoint is leaving";
                 self.log_failure(gateway, request, Some(&endpoint), reason, true);
                 self.avoid.push(endpoint);
                 None
             }
-            TryEnd::MayHaveRun { reason, endpoint } => {
-                let again = self.may_send_again(request);
-                self.log_failure(gateway, request, Some(&endpoint), &reason, again);
+            SendOutcome::MayHaveRun { reason, endpoint } => {
+                let will_resend = self.may_send_again(request);
+                self.log_failure(gateway, request, Some(&endpoint), &reason, will_resend);
                 self.avoid.push(endpoint);
-                self.wait_until = self.wait_until.max(Instant::now() + LOOK_AFTER_LOSS);
-                (!again).then(|| self.give_up("answer lost", FULL_AGAIN))
+                self.endpoint_wait_until =
+                    self.endpoint_wait_until.max(Instant::now() + ENDPOINT_WAIT_AFTER_LOSS);
+                (!will_resend).then(|| self.give_up("answer lost", FULL_RETRY_AFTER))
+            }
+            SendOutcome::Blocked(reason, after) => Some(self.give_up(reason, after)),
+            SendOutcome::NoPlacement(error) => {
+                self.conclude_no_placement(gateway, request, error).await
             }
-            TryEnd::Barred(reason, after) => Some(self.give_up(reason, after)),
-            TryEnd::NoPlace(lack) => self.conclude_no_place(gateway, request, lack).await,
         }
     }
 
@@ -250,121 +265,128 @@
         request: &CallerRequest,
         reason: &str,
         endpoint: Option<EndpointStart>,
-    ) -> Option<Verdict> {
-        let again = self.sends() < MAX_SENDS;
-        self.log_failure(gateway, request, endpoint.as_ref(), reason, again);
+    ) -> Option<RequestOutcome> {
+        let will_resend = self.sends() < MAX_SENDS;
+        self.log_failure(gateway, request, endpoint.as_ref(), reason, will_resend);
         self.avoid.extend(endpoint);
-        (!again).then(|| self.give_up("endpoints full or gone", FULL_AGAIN))
+        (!will_resend).then(|| self.give_up("endpoints full or gone", FULL_RETRY_AFTER))
     }
 
-    fn conclude_answer(&mut self, request: &CallerRequest, answer: WholeAnswer) -> Option<Verdict> {
+    fn conclude_answer(
+        &mut self,
+        request: &CallerRequest,
+        answer: BufferedAnswer,
+    ) -> Option<RequestOutcome> {
         let is_failure = answer.status().is_server_error();
         if !is_failure || !self.may_send_again(request) {
-            return Some(Verdict::Answer(answer));
+            return Some(RequestOutcome::Answer(answer));
         }
         self.failure = Some(answer);
         None
     }
 
-    async fn conclude_no_place(
+    async fn conclude_no_placement(
         &mut self,
         gateway: &Gateway,
         request: &CallerRequest,
-        lack: NoPlace,
-    ) -> Option<Verdict> {
-        let may_wait = !matches!(lack, NoPlace::Refused(..));
-        if may_wait && Instant::now() < self.wait_until {
-            sleep(LOOK_AGAIN).await;
+        error: NoPlacement,
+    ) -> Option<RequestOutcome> {
+        let may_wait = !matches!(error, NoPlacement::Refused(..));
+        if may_wait && Instant::now() < self.endpoint_wait_until {
+            sleep(ENDPOINT_RETRY_DELAY).await;
             return None;
         }
-        let (reason, after) = lack.told();
-        no_place(gateway, request, reason).millis("retry_after_ms", after);
+        let (reason, after) = error.reason_and_retry_after();
+        no_place_line(gateway, request, reason).millis("retry_after_ms", after);
         Some(self.give_up(reason, after))
     }
 
-    /// Ends a request that gets no answer, with the truth about whether it may have run.
-    fn give_up(&mut self, reason: &'static str, retry_after: Duration) -> Verdict {
+    /// Returns the outcome of a request without an answer. It states whether the request may have run.
+    fn give_up(&mut self, reason: &'static str, retry_after: Duration) -> RequestOutcome {
         if let Some(failure) = self.failure.take() {
-            return Verdict::Answer(failure);
+            return RequestOutcome::Answer(failure);
         }
         if self.may_have_run() {
-            return Verdict::Refusal(Refusal::failed(reason));
+            return RequestOutcome::Refusal(Refusal::failed(reason));
         }
-        Verdict::Refusal(Refusal::not_run(reason, retry_after))
+        RequestOutcome::Refusal(Refusal::not_run(reason, retry_after))
     }
 
-    /// Finds an endpoint and makes the last checks before bytes leave.
+    /// Selects an endpoint and performs the last checks before bytes are sent.
     async fn begin_send(
         &mut self,
         gateway: &Rc<Gateway>,
         request: &CallerRequest,
-    ) -> Result<Placement, TryEnd> {
+    ) -> Result<Placement, SendOutcome> {
         self.check_quarantine(gateway, request).await?;
-        let patience = self.wait_until.saturating_duration_since(Instant::now());
-        let found = Placement::find(gateway, request, &self.avoid, patience).await;
-        let placement = found.map_err(TryEnd::NoPlace)?;
-        // The process may have stood still since the first checks.
+        let max_wait = self.endpoint_wait_until.saturating_duration_since(Instant::now());
+        let found = Placement::find(gateway, request, &self.avoid, max_wait).await;
+        let placement = found.map_err(SendOutcome::NoPlacement)?;
+        // The process may have been suspended since the first checks.
         let fails_closed = request.needs_proof && gateway.settings().bounds.fail_closed;
         if fails_closed && !gateway.is_fresh() {
-            return Err(TryEnd::Barred("document not proved current", AFTER_ELECTION));
+            return Err(SendOutcome::Blocked("document not proved current", ELECTION_RETRY_AFTER));
         }
         if gateway.endpoints.borrow().takes_work(&placement.endpoint).is_none() {
-            return Err(TryEnd::Leaving(placement.endpoint.clone()));
+            return Err(SendOutcome::Leaving(placement.endpoint.clone()));
         }
-        if request.left().is_zero() {
-            return Err(TryEnd::Barred("time over", FULL_AGAIN));
+        if request.time_left().is_zero() {
+            return Err(SendOutcome::Blocked("time over", FULL_RETRY_AFTER));
         }
-        // An endpoint may have ended under it elsewhere meanwhile.
+        // In the meantime, an endpoint may have ended under the same request at another instance.
         self.check_quarantine(gateway, request).await?;
-        // Only what reaches an endpoint once more counts: neither a look for a place that finds none nor a send to one
-        // that is gone must use up what other requests need.
-        if self.attempts.arrivals() > 0 && !take_from_budget(gateway, request).await {
-            return Err(TryEnd::Barred("retry budget used up", FULL_AGAIN));
+        // Only sends after the request may have reached an endpoint use the retry budget. Searches that
+        // find no endpoint and sends to endpoints that are gone must not exhaust the budget of other
+        // requests.
+        if self.attempts.deliveries() > 0 && !take_from_budget(gateway, request).await {
+            return Err(SendOutcome::Blocked("retry budget used up", FULL_RETRY_AFTER));
         }
-        self.attempts.send();
+        self.attempts.record_send();
         self.is_trial = false;
         self.log_send(gateway, request, &placement);
         Ok(placement)
     }
 
-    /// Refuses a request that ends its endpoints. The limit of sends holds for one attempt in one instance,
-    /// so that a request which comes again would end as many endpoints with each attempt.
+    /// Refuses a quarantined request, which ends the processes of its endpoints. The limit of sends
+    /// applies to one attempt at one instance, so without the quarantine each repeated attempt of the
+    /// caller would end as many endpoints again.
     async fn check_quarantine(
         &mut self,
         gateway: &Gateway,
         request: &CallerRequest,
-    ) -> Result<(), TryEnd> {
+    ) -> Result<(), SendOutcome> {
         let standing = || gateway.standing(|| request.digest());
         if self.is_trial || !matches!(standing(), Standing::Quarantined { .. }) {
             return Ok(());
         }
         let age = gateway.since_last_end(request.digest()).unwrap_or(Duration::MAX);
-        sleep(NEWS_OF_END.saturating_sub(age)).await;
+        sleep(END_REPORT_GRACE.saturating_sub(age)).await;
         let Standing::Quarantined { trial_in } = standing() else { return Ok(()) };
         if trial_in.is_zero() && gateway.begins_trial(request.digest()) {
             self.is_trial = true;
             return Ok(());
         }
-        Err(TryEnd::Barred(QUARANTINED, trial_in.max(FULL_AGAIN)))
+        Err(SendOutcome::Blocked(QUARANTINED, trial_in.max(FULL_RETRY_AFTER)))
     }
 
-    /// Returns how long the head of the answer, or a stream's first event, is waited for.
-    fn patience(&self, request: &CallerRequest, placement: &Placement) -> Duration {
+    /// Returns the time without an answer's head, or a stream's first event, after which the request is
+    /// hedged.
+    fn hedge_timeout(&self, request: &CallerRequest, placement: &Placement) -> Duration {
         if !request.route.repeat.may_repeat() || self.attempts.runs() >= request.route.max_attempts
         {
-            // The request's own time ends first, and with the answer that fits that.
-            return FOREVER;
+            // The request's deadline passes first and determines its response.
+            return UNHEDGED_TIMEOUT;
         }
         let objective = request.route.objective;
         match &placement.plan {
-            Some(plan) => (plan.first_event.mul_f64(FIRST_EVENT_STRETCH) + FIRST_EVENT_SLACK)
-                .max(objective.mul_f64(FIRST_EVENT_OBJECTIVES)),
-            None => objective.mul_f64(CALL_SILENCE_SHARE),
+            Some(plan) => (plan.first_event.mul_f64(FIRST_EVENT_RATIO) + FIRST_EVENT_GRACE)
+                .max(objective.mul_f64(FIRST_EVENT_OBJECTIVE_RATIO)),
+            None => objective.mul_f64(CALL_HEDGE_SHARE),
         }
     }
 }
 
-/// Takes one repeated send out of the budget; returns whether there was one.
+/// Takes one repeated send from the retry budget. Returns whether the budget allowed it.
 async fn take_from_budget(gateway: &Gateway, request: &CallerRequest) -> bool {
     let granted = gateway.take_repeated_send(&request.service.name).await;
     if !granted {
@@ -373,7 +395,7 @@
     granted
 }
 
-/// Returns whether a stream that has begun may go on at another endpoint.
+/// Returns whether a stream that has begun may be resumed at another endpoint.
 pub(super) fn may_resume(request: &CallerRequest) -> bool {
     request.route.repeat == RepeatRule::ResumableStream
 }
--- a/crates/gateway/src/front/try_lines.rs
+++ b/crates/gateway/src/front/try_lines.rs
@@ -1,4 +1,4 @@
-//! The log lines of a request's sends.
+//! Writes the log lines of a request's sends.
 
 use std::time::Duration;
 
@@ -6,19 +6,19 @@
 
 use super::caller::CallerRequest;
 use super::placement::Placement;
-use super::tries::History;
+use super::tries::SendHistory;
 use crate::events::{EventKind, EventLine};
 use crate::gateway::Gateway;
 
-impl History {
-    /// Writes down that a send failed, and what follows.
+impl SendHistory {
+    /// Logs that a send failed, and whether the request is sent again.
     pub(super) fn log_failure(
         &self,
         gateway: &Gateway,
         request: &CallerRequest,
         endpoint: Option<&EndpointStart>,
         reason: &str,
-        again: bool,
+        will_resend: bool,
     ) {
         gateway
             .line(EventKind::SendFailed)
@@ -27,11 +27,11 @@
             .number("may_have_run", self.runs())
             .maybe("endpoint", endpoint)
             .text("reason", reason)
-            .millis("left_ms", request.left())
-            .text("next", if again { "send again" } else { "give up" });
+            .millis("left_ms", request.time_left())
+            .text("next", if will_resend { "send again" } else { "give up" });
     }
 
-    /// Writes down that a request is sent, and on what ground there.
+    /// Logs that a request is sent, with the endpoint and the data on which its selection is based.
     pub(super) fn log_send(
         &self,
         gateway: &Gateway,
@@ -49,7 +49,7 @@
             .text("placed_by", placement.placed_by)
             .maybe("revision", document.map(|document| document.text.revision))
             .millis("proof_age_ms", proof_age.unwrap_or(Duration::MAX))
-            .millis("left_ms", request.left())
+            .millis("left_ms", request.time_left())
             .maybe("after_event", self.last_event);
         if let Some(plan) = &placement.plan {
             line = line
@@ -62,8 +62,9 @@
     }
 }
 
-/// Begins the line that says why a request finds no place, or no second one.
-pub(super) fn no_place<'a>(
+/// Begins the log line with the reason why no endpoint, or no second endpoint, was selected for a
+/// request.
+pub(super) fn no_place_line<'a>(
     gateway: &'a Gateway,
     request: &CallerRequest,
     reason: &str,
@@ -74,11 +75,12 @@
         .text("service", &request.service.name)
         .number("prompt_tokens", request.facts.prompt_tokens.unwrap_or(0))
         .millis("waited_ms", request.arrived.elapsed())
-        .millis("left_ms", request.left())
+        .millis("left_ms", request.time_left())
         .text("reason", reason)
 }
 
-/// Lists the engines that read parts of a prompt; none where one engine reads it all.
+/// Lists the addresses of the helpers that read parts of a prompt. Returns `None` if one engine reads
+/// the whole prompt.
 fn helped_by(placement: &Placement) -> Option<String> {
     let addresses: Vec<String> =
         placement.helpers.iter().map(|helper| helper.address.to_string()).collect();
--- a/crates/gateway/tests/attempts.rs
+++ b/crates/gateway/tests/attempts.rs
@@ -1,41 +1,42 @@
-//! No request runs on more endpoints than its route allows, whatever becomes of its sends.
+//! Tests that a request never runs on more endpoints than its route allows, whatever the outcome of
+//! its sends.
 
 use oriolepass_gateway::AttemptCount;
 use proptest::prelude::*;
 
-/// What becomes of a send that is under way.
+/// The outcome of a send in progress.
 #[derive(Debug, Clone, Copy)]
-enum SendFate {
-    /// The endpoint runs it, and its answer is taken or lost.
+enum SendOutcome {
+    /// The endpoint runs the request, and its answer is used or lost.
     Runs,
-    /// It is given up, and its endpoint reads and runs it all the same.
-    RunsUnwatched,
-    /// It is given up before its endpoint reads it, which nobody learns.
+    /// The send is abandoned, but its endpoint reads and runs the request.
+    RunsAfterAbandon,
+    /// The send is abandoned before its endpoint reads it. The gateway cannot observe this.
     NeverRead,
-    /// The endpoint says that it does not run it.
+    /// The endpoint answers that it does not run the request.
     Rejected,
 }
 
-fn fate() -> impl Strategy<Value = SendFate> {
+fn outcome() -> impl Strategy<Value = SendOutcome> {
     prop_oneof![
-        Just(SendFate::Runs),
-        Just(SendFate::RunsUnwatched),
-        Just(SendFate::NeverRead),
-        Just(SendFate::Rejected),
+        Just(SendOutcome::Runs),
+        Just(SendOutcome::RunsAfterAbandon),
+        Just(SendOutcome::NeverRead),
+        Just(SendOutcome::Rejected),
     ]
 }
 
-/// A step in the life of a request: another send, or the end of the oldest or newest one under way.
+/// A step of a request: another send, or the end of the oldest or newest send in progress.
 #[derive(Debug, Clone, Copy)]
 enum RequestStep {
-    Send(SendFate),
+    Send(SendOutcome),
     EndOldest,
     EndNewest,
 }
 
 fn step() -> impl Strategy<Value = RequestStep> {
     prop_oneof![
-        fate().prop_map(RequestStep::Send),
+        outcome().prop_map(RequestStep::Send),
         Just(RequestStep::EndOldest),
         Just(RequestStep::EndNewest),
     ]
@@ -50,24 +51,24 @@
         steps in prop::collection::vec(step(), 1..24),
     ) {
         let mut attempts = AttemptCount::default();
-        let mut under_way: Vec<SendFate> = Vec::new();
+        let mut in_progress: Vec<SendOutcome> = Vec::new();
         let mut ran = 0;
         for step in steps {
             let ended = match step {
-                RequestStep::Send(fate) if attempts.runs() < max_attempts => {
-                    attempts.send();
-                    under_way.push(fate);
+                RequestStep::Send(outcome) if attempts.runs() < max_attempts => {
+                    attempts.record_send();
+                    in_progress.push(outcome);
                     None
                 }
                 RequestStep::Send(_) => None,
-                RequestStep::EndOldest if under_way.is_empty() => None,
-                RequestStep::EndOldest => Some(under_way.remove(0)),
-                RequestStep::EndNewest => under_way.pop(),
+                RequestStep::EndOldest if in_progress.is_empty() => None,
+                RequestStep::EndOldest => Some(in_progress.remove(0)),
+                RequestStep::EndNewest => in_progress.pop(),
             };
             match ended {
-                Some(SendFate::Runs | SendFate::RunsUnwatched) => ran += 1,
-                Some(SendFate::Rejected) => attempts.was_not_run(),
-                Some(SendFate::NeverRead) | None => {}
+                Some(SendOutcome::Runs | SendOutcome::RunsAfterAbandon) => ran += 1,
+                Some(SendOutcome::Rejected) => attempts.record_not_run(),
+                Some(SendOutcome::NeverRead) | None => {}
             }
             prop_assert!(ran <= max_attempts, "{ran} runs of {max_attempts}");
             prop_assert!(ran <= attempts.runs(), "{ran} runs, {attempts:?}");
@@ -76,24 +77,32 @@
 }
 
 #[test]
-fn a_send_that_is_given_up_counts_and_a_rejected_one_does_not() {
+fn an_abandoned_send_counts_as_a_run_and_a_rejected_send_does_not() {
     let mut attempts = AttemptCount::default();
-    attempts.send();
-    attempts.send();
-    assert_eq!((attempts.sends(), attempts.runs()), (2, 2), "one of them was merely given up");
-    attempts.was_not_run();
+    attempts.record_send();
+    attempts.record_send();
+    assert_eq!((attempts.sends(), attempts.runs()), (2, 2), "an abandoned send still counts");
+    attempts.record_not_run();
     assert_eq!((attempts.sends(), attempts.runs()), (2, 1));
 }
 
 #[test]
-fn what_reached_no_endpoint_is_no_arrival_and_what_one_rejected_is() {
+fn a_rejected_send_counts_as_delivered_and_an_undelivered_send_does_not() {
     let mut attempts = AttemptCount::default();
-    attempts.send();
-    attempts.did_not_arrive();
-    assert_eq!((attempts.arrivals(), attempts.runs()), (0, 0), "the next send is its first");
-    attempts.send();
-    attempts.was_not_run();
-    assert_eq!((attempts.arrivals(), attempts.runs()), (1, 0), "the next send repeats it");
-    attempts.send();
-    assert_eq!((attempts.sends(), attempts.arrivals(), attempts.runs()), (3, 2, 1));
+    attempts.record_send();
+    attempts.record_not_delivered();
+    assert_eq!(
+        (attempts.deliveries(), attempts.runs()),
+        (0, 0),
+        "no send was delivered, so the next send is no repeat"
+    );
+    attempts.record_send();
+    attempts.record_not_run();
+    assert_eq!(
+        (attempts.deliveries(), attempts.runs()),
+        (1, 0),
+        "a send was delivered, so the next send is a repeat"
+    );
+    attempts.record_send();
+    assert_eq!((attempts.sends(), attempts.deliveries(), attempts.runs()), (3, 2, 1));
 }
