--- a/crates/gateway/src/documents.rs
+++ b/crates/gateway/src/documents.rs
@@ -19,7 +19,7 @@
 use crate::events::EventKind;
 use crate::gateway::{Gateway, PeerReply};
 use crate::gossip::{DocumentSpread, RelayGroup, relay_groups};
-use crate::home::HOME_PATIENCE;
+use crate::home::HOME_ANSWER_TIMEOUT;
 use crate::hubs::Tier;
 use crate::peers::{DocumentVerdict, DrainVerdict, FreshVerdict, PeerMessage};
 use crate::replica::{CommandOutcome, LogCommand, ProposalEnd, Proposer};
@@ -292,7 +292,7 @@
         let mut call = std::pin::pin!(self.call(&leader, FRESHNESS_QUERY_TIMEOUT, query));
         // The leader is also the home of the engines, the daemon that places prompts on them. The
         // query detects a slow home before a prompt has to wait for it.
-        let reply = match timeout(HOME_PATIENCE, &mut call).await {
+        let reply = match timeout(HOME_ANSWER_TIMEOUT, &mut call).await {
             Ok(reply) => {
                 self.home_answered();
                 reply
--- a/crates/gateway/src/home.rs
+++ b/crates/gateway/src/home.rs
@@ -25,7 +25,7 @@
 
 /// How long the home has to place a prompt: far above a hop between data centres and a decision,
 /// far below the shortest objective.
-pub(crate) const HOME_PATIENCE: Duration = Duration::from_millis(90);
+pub(crate) const HOME_ANSWER_TIMEOUT: Duration = Duration::from_millis(90);
 
 /// How long a deputy has: the prompt may have waited for the home before.
 const DEPUTY_PATIENCE: Duration = Duration::from_millis(60);
@@ -99,7 +99,9 @@
         }
         if !self.home.borrow().watch.is_away() {
             if let Some(leader) = self.leader_instance() {
-                if let Some(verdict) = self.ask_to_place(&leader, HOME_PATIENCE, ask, None).await {
+                if let Some(verdict) =
+                    self.ask_to_place(&leader, HOME_ANSWER_TIMEOUT, ask, None).await
+                {
                     return (verdict, PlacedBy::RemoteHome);
                 }
                 self.line(EventKind::HomeLost).text("request", request).text("home", leader);
@@ -228,7 +230,7 @@
             return self.explains_silence(endpoint, silence);
         };
         let reply = self
-            .call(&leader, HOME_PATIENCE, |token| PeerMessage::SilenceAsk {
+            .call(&leader, HOME_ANSWER_TIMEOUT, |token| PeerMessage::SilenceAsk {
                 token,
                 endpoint: endpoint.clone(),
                 silence,
