--- a/crates/gateway/src/net.rs
+++ b/crates/gateway/src/net.rs
@@ -9,13 +9,13 @@
 
 /// How long sent bytes may stay unacknowledged: a cut link is silent, and without this a
 /// connection over one would hang for minutes. Above two retransmissions of a lost packet.
-pub(crate) const SILENT_LINK: Duration = Duration::from_millis(1_800);
+pub(crate) const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_800);
 
 /// Sets a connection's options. One that refuses them works all the same, only slower to notice
 /// a lost peer, so failures are not worth more than that.
 pub(crate) fn tune(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
-    let _ = SockRef::from(stream).set_tcp_user_timeout(Some(SILENT_LINK));
+    let _ = SockRef::from(stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
 }
 
 /// Connects, from the given address of this machine if there is one.
@@ -24,7 +24,7 @@
     if let Some(from) = from {
         socket.bind(SocketAddr::new(from, 0))?;
     }
-    let _ = SockRef::from(&socket).set_tcp_user_timeout(Some(SILENT_LINK));
+    let _ = SockRef::from(&socket).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
     let stream = socket.connect(to).await?;
     let _ = stream.set_nodelay(true);
     Ok(stream)
--- a/crates/gateway/src/peers/mesh.rs
+++ b/crates/gateway/src/peers/mesh.rs
@@ -218,7 +218,7 @@
             let Ok(frame) = frames.try_recv() else { break };
             buffer.extend_from_slice(&frame);
         }
-        match timeout(net::SILENT_LINK, stream.write_all(&buffer)).await {
+        match timeout(net::TCP_USER_TIMEOUT, stream.write_all(&buffer)).await {
             Ok(Ok(())) if buffer.is_empty() => {}
             Ok(Ok(())) => {
                 buffer.clear();
