--- a/crates/gateway/src/calls.rs
+++ b/crates/gateway/src/calls.rs
@@ -62,7 +62,7 @@
             sleep(ACCEPT_AGAIN).await;
             continue;
         };
-        net::tune(&stream);
+        net::set_stream_options(&stream);
         let handler = Rc::clone(&handler);
         let service = service_fn(move |request: Request<Incoming>| {
             let handler = Rc::clone(&handler);
--- a/crates/gateway/src/net.rs
+++ b/crates/gateway/src/net.rs
@@ -13,7 +13,7 @@
 
 /// Sets a connection's options. One that refuses them works all the same, only slower to notice
 /// a lost peer, so failures are not worth more than that.
-pub(crate) fn tune(stream: &TcpStream) {
+pub(crate) fn set_stream_options(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let _ = SockRef::from(stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
 }
--- a/crates/gateway/src/peers/mesh.rs
+++ b/crates/gateway/src/peers/mesh.rs
@@ -258,7 +258,7 @@
             Ok((stream, _)) => {
                 let events = Rc::clone(&events);
                 spawn_local(async move {
-                    net::tune(&stream);
+                    net::set_stream_options(&stream);
                     // The daemon that opened the connection logs a failure and reconnects.
                     let _ = read_link(stream, &*events).await;
                 });
