--- a/crates/gateway/src/documents.rs
+++ b/crates/gateway/src/documents.rs
@@ -294,11 +294,11 @@
         // query detects a slow home before a prompt has to wait for it.
         let reply = match timeout(HOME_ANSWER_TIMEOUT, &mut call).await {
             Ok(reply) => {
-                self.home_answered();
+                self.on_home_answer();
                 reply
             }
             Err(_) => {
-                self.home_missed();
+                self.on_home_timeout();
                 call.await
             }
         };
--- a/crates/gateway/src/home.rs
+++ b/crates/gateway/src/home.rs
@@ -106,7 +106,7 @@
                 }
                 self.line(EventKind::HomeLost).text("request", request).text("home", leader);
             }
-            self.home_missed();
+            self.on_home_timeout();
         }
         let placed = self.place_without_home(request, ask).await;
         if let Ok(plan) = &placed.0 {
@@ -179,7 +179,7 @@
     }
 
     /// Notes that the home did not answer in time, and tells its deputies what runs.
-    pub(crate) fn home_missed(&self) {
+    pub(crate) fn on_home_timeout(&self) {
         let deputies = self.deputies();
         let news = self.home.borrow_mut().watch.missed(self.now(), deputies);
         for deputy in news.iter().filter(|deputy| **deputy != self.own) {
@@ -188,7 +188,7 @@
     }
 
     /// Notes that the home answers in time; where it did not before, it is told what runs.
-    pub(crate) fn home_answered(&self) {
+    pub(crate) fn on_home_answer(&self) {
         if self.home.borrow_mut().watch.answered() {
             self.on_new_home();
         }
--- a/crates/gateway/src/hubs.rs
+++ b/crates/gateway/src/hubs.rs
@@ -460,9 +460,9 @@
         let heartbeat = self.settings().bounds.endpoint_heartbeat;
         self.endpoints.borrow_mut().update_heard(asked, &silent, heartbeat);
         if is_home_away {
-            self.home_missed();
+            self.on_home_timeout();
         } else {
-            self.home_answered();
+            self.on_home_answer();
         }
         if let Some((newest, age)) = proof {
             self.prove_newest(asked - age, newest);
