--- a/crates/gateway/src/cluster.rs
+++ b/crates/gateway/src/cluster.rs
@@ -486,7 +486,7 @@
             gateway.line(EventKind::PeerLink).text("peer", to).text("outcome", "up");
         }
         let lost = gateway.links_lost.borrow_mut().remove(to);
-        gateway.note_link(to);
+        gateway.record_link_up(to);
         let mut messages = vec![PeerMessage::Greeting(gateway.note())];
         messages.extend(gateway.state_updates_for(to, lost));
         messages
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -240,7 +240,7 @@
     }
 
     /// Notes that a new link to a daemon is up.
-    pub(crate) fn note_link(&self, to: &InstanceId) {
+    pub(crate) fn record_link_up(&self, to: &InstanceId) {
         *self.links_made.borrow_mut().entry(to.clone()).or_default() += 1;
         self.link_up.notify_waiters();
     }
