--- a/crates/gateway/src/front/ends.rs
+++ b/crates/gateway/src/front/ends.rs
@@ -54,7 +54,7 @@
 ) {
     let look = look(gateway, endpoint, address).await;
     if look == EndLook::Ended {
-        gateway.ended_under(request.digest(), endpoint);
+        gateway.record_endpoint_end(request.digest(), endpoint);
     }
     gateway.metrics.end_looks.with_label_values(&[look.name()]).inc();
     gateway
--- a/crates/gateway/src/front/sends.rs
+++ b/crates/gateway/src/front/sends.rs
@@ -151,7 +151,7 @@
                 gateway.endpoint_fault(&request.id, endpoint, FaultKind::Failure);
             }
             placement.begun();
-            gateway.answered_whole(|| request.digest());
+            gateway.record_complete_answer(|| request.digest());
             TryEnd::Answer(Response::from_parts(passed_on(gateway, parts), body.to_bytes()))
         }
         Err(error) => broken(gateway, request, &placement, error.to_string()).await,
--- a/crates/gateway/src/front/stream.rs
+++ b/crates/gateway/src/front/stream.rs
@@ -141,7 +141,7 @@
         self.guard.answered(self.history.sends());
         let (status, reason) = match &end {
             PumpEnd::Whole => {
-                self.gateway.answered_whole(|| self.request.digest());
+                self.gateway.record_complete_answer(|| self.request.digest());
                 ("200", "whole")
             }
             // The guard says so by itself.
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -47,13 +47,13 @@
 
 impl Gateway {
     /// Notes that an endpoint ended under a request of a caller here.
-    pub(crate) fn ended_under(&self, digest: RequestDigest, endpoint: &EndpointStart) {
+    pub(crate) fn record_endpoint_end(&self, digest: RequestDigest, endpoint: &EndpointStart) {
         let news = self.quarantine.borrow_mut().table.end(self.case_time(), digest, endpoint);
         self.quarantine_changed(news);
     }
 
     /// Notes that a request was answered whole: what ended under it before was not its doing.
-    pub(crate) fn answered_whole(&self, digest: impl FnOnce() -> RequestDigest) {
+    pub(crate) fn record_complete_answer(&self, digest: impl FnOnce() -> RequestDigest) {
         if self.quarantine.borrow().table.is_empty() {
             return;
         }
