--- a/crates/gateway/src/front/tries.rs
+++ b/crates/gateway/src/front/tries.rs
@@ -341,7 +341,7 @@
         let age = gateway.since_last_end(request.digest()).unwrap_or(Duration::MAX);
         sleep(NEWS_OF_END.saturating_sub(age)).await;
         let Standing::Quarantined { trial_in } = standing() else { return Ok(()) };
-        if trial_in.is_zero() && gateway.begins_trial(request.digest()) {
+        if trial_in.is_zero() && gateway.try_begin_trial(request.digest()) {
             self.is_trial = true;
             return Ok(());
         }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -97,7 +97,7 @@
 
     /// Returns whether a quarantined request whose trial is due is tried here, and notes that it is. One
     /// daemon of those in reach tries it, so that it reaches one endpoint and not one for each of them.
-    pub(crate) fn begins_trial(&self, digest: RequestDigest) -> bool {
+    pub(crate) fn try_begin_trial(&self, digest: RequestDigest) -> bool {
         let now = self.now();
         let own_rank = rank(&self.own, &digest);
         // Leaves do not know each other, so only hubs run trials in tiers.
