--- a/crates/gateway/src/cluster.rs
+++ b/crates/gateway/src/cluster.rs
@@ -340,7 +340,7 @@
     fn endpoint_updates_since(&self, since: MonotonicTime) -> Vec<PeerMessage> {
         let now = self.now();
         let endpoints = self.endpoints.borrow();
-        let leavers = endpoints.leavers(MAX_REPORTED_DEPARTURES, since);
+        let leavers = endpoints.departed(MAX_REPORTED_DEPARTURES, since);
         let notices = endpoints.changed_notices(now, since);
         let mut updates = Vec::new();
         if !leavers.is_empty() {
--- a/crates/gateway/src/endpoints.rs
+++ b/crates/gateway/src/endpoints.rs
@@ -381,7 +381,7 @@
     }
 
     /// Lists those that have left since a moment, newest first, at most `count`.
-    pub fn leavers(&self, count: usize, since: MonotonicTime) -> Vec<EndpointStart> {
+    pub fn departed(&self, count: usize, since: MonotonicTime) -> Vec<EndpointStart> {
         let newest = self.left_order.iter().rev().take_while(|(at, _)| *at >= since);
         newest.take(count).map(|(_, endpoint)| endpoint.clone()).collect()
     }
--- a/crates/gateway/src/hubs.rs
+++ b/crates/gateway/src/hubs.rs
@@ -358,7 +358,7 @@
         let now = self.now();
         let (notices, left) = {
             let endpoints = self.endpoints.borrow();
-            (endpoints.all_notices(now), endpoints.leavers(TOLD_LEAVERS, MonotonicTime::ZERO))
+            (endpoints.all_notices(now), endpoints.departed(TOLD_LEAVERS, MonotonicTime::ZERO))
         };
         self.mesh.send(leaf, &PeerMessage::EndpointView { notices, left });
         for message in self.all_cases() {
--- a/crates/gateway/tests/parts.rs
+++ b/crates/gateway/tests/parts.rs
@@ -190,8 +190,8 @@
     let names: Vec<String> =
         changed.iter().map(|notice| notice.beat.endpoint.to_string()).collect();
     assert_eq!(names, ["i-2", "i-4"], "a heartbeat that changes nothing is no news");
-    assert_eq!(registry.leavers(9, at(3_000)), ["i-3".parse().unwrap()]);
-    assert!(registry.leavers(9, at(5_500)).is_empty());
+    assert_eq!(registry.departed(9, at(3_000)), ["i-3".parse().unwrap()]);
+    assert!(registry.departed(9, at(5_500)).is_empty());
     assert_eq!(registry.changed_notices(at(6_000), MonotonicTime::ZERO).len(), 3, "all of them");
 }
 
