--- a/crates/gateway/src/announce.rs
+++ b/crates/gateway/src/announce.rs
@@ -43,7 +43,7 @@
     pub fn endpoint_beat(&self, beat: EndpointBeat) {
         let now = self.now();
         let endpoint = beat.endpoint.clone();
-        let change = self.endpoints.borrow_mut().take(now, beat.clone(), Duration::ZERO);
+        let change = self.endpoints.borrow_mut().apply_heartbeat(now, beat.clone(), Duration::ZERO);
         match change {
             BeatChange::Met | BeatChange::Changed => {
                 self.log_endpoint(&beat, change, None);
@@ -74,7 +74,8 @@
         let is_from_leaf = tier == Tier::Hub && !self.roster.borrow().is_hub(from);
         let mut news = Vec::new();
         for notice in notices {
-            let change = self.endpoints.borrow_mut().take(now, notice.beat.clone(), notice.age);
+            let change =
+                self.endpoints.borrow_mut().apply_heartbeat(now, notice.beat.clone(), notice.age);
             if matches!(change, BeatChange::Met | BeatChange::Changed) {
                 if tier != Tier::Leaf {
                     self.log_endpoint(&notice.beat, change, Some(from));
--- a/crates/gateway/src/endpoints.rs
+++ b/crates/gateway/src/endpoints.rs
@@ -108,7 +108,12 @@
 
 impl EndpointRegistry {
     /// Takes in a heartbeat that came `age` ago.
-    pub fn take(&mut self, now: MonotonicTime, beat: EndpointBeat, age: Duration) -> BeatChange {
+    pub fn apply_heartbeat(
+        &mut self,
+        now: MonotonicTime,
+        beat: EndpointBeat,
+        age: Duration,
+    ) -> BeatChange {
         self.latest = self.latest.max(now);
         let heard = now - age;
         let Some(entry) = self.entries.get_mut(&beat.endpoint) else {
@@ -298,7 +303,7 @@
         self.entries.retain(|endpoint, _| known.contains(endpoint));
         self.generation += u64::from(self.entries.len() != before);
         for EndpointNotice { beat, age } in notices {
-            self.take(now, beat, age);
+            self.apply_heartbeat(now, beat, age);
         }
     }
 
--- a/crates/gateway/tests/parts.rs
+++ b/crates/gateway/tests/parts.rs
@@ -55,21 +55,21 @@
 fn late_heartbeats_change_nothing() {
     let mut registry = EndpointRegistry::default();
     let serving = |sequence| beat("i-1", 1, sequence, EndpointPhase::Serving);
-    assert_eq!(registry.take(at(10), serving(5), Duration::ZERO), BeatChange::Met);
+    assert_eq!(registry.apply_heartbeat(at(10), serving(5), Duration::ZERO), BeatChange::Met);
     let draining = beat("i-1", 1, 6, EndpointPhase::Draining);
-    assert_eq!(registry.take(at(11), draining, Duration::ZERO), BeatChange::Changed);
-    assert_eq!(registry.take(at(12), serving(4), Duration::ZERO), BeatChange::Stale);
+    assert_eq!(registry.apply_heartbeat(at(11), draining, Duration::ZERO), BeatChange::Changed);
+    assert_eq!(registry.apply_heartbeat(at(12), serving(4), Duration::ZERO), BeatChange::Stale);
     assert!(registry.takes_work(&"i-1".parse().unwrap()).is_none(), "it drains");
     assert_eq!(registry.leave(&"i-1".parse().unwrap()), "i-1".parse().ok());
-    assert_eq!(registry.take(at(13), serving(9), Duration::ZERO), BeatChange::Stale);
+    assert_eq!(registry.apply_heartbeat(at(13), serving(9), Duration::ZERO), BeatChange::Stale);
     assert_eq!(registry.all().count(), 0, "who has left stays away");
 }
 
 #[test]
 fn an_address_that_is_used_again_ends_the_one_before() {
     let mut registry = EndpointRegistry::default();
-    registry.take(at(10), beat("i-old", 1, 1, EndpointPhase::Serving), Duration::ZERO);
-    registry.take(at(900), beat("i-new", 1, 1, EndpointPhase::Serving), Duration::ZERO);
+    registry.apply_heartbeat(at(10), beat("i-old", 1, 1, EndpointPhase::Serving), Duration::ZERO);
+    registry.apply_heartbeat(at(900), beat("i-new", 1, 1, EndpointPhase::Serving), Duration::ZERO);
     let known: Vec<String> = registry.all().map(|beat| beat.endpoint.to_string()).collect();
     assert_eq!(known, ["i-new"]);
     assert_eq!(registry.at(SocketAddr::from(([10, 0, 0, 1], 1))), "i-new".parse().ok());
@@ -85,31 +85,56 @@
         registry.all().map(|beat| beat.endpoint.to_string()).collect()
     };
     let mut registry = EndpointRegistry::default();
-    registry.take(at(10), start(1_000, 1, 7), Duration::ZERO);
-    assert_eq!(registry.take(at(20), start(2_000, 2, 1), Duration::ZERO), BeatChange::Met);
+    registry.apply_heartbeat(at(10), start(1_000, 1, 7), Duration::ZERO);
+    assert_eq!(
+        registry.apply_heartbeat(at(20), start(2_000, 2, 1), Duration::ZERO),
+        BeatChange::Met
+    );
     assert_eq!(known(&registry), ["i-1@2000"]);
-    assert_eq!(registry.take(at(30), start(1_000, 1, 9), Duration::ZERO), BeatChange::Stale);
+    assert_eq!(
+        registry.apply_heartbeat(at(30), start(1_000, 1, 9), Duration::ZERO),
+        BeatChange::Stale
+    );
     assert_eq!(registry.leave(&"i-1@1000".parse().unwrap()), None, "it is over already");
-    assert_eq!(registry.take(at(40), start(2_000, 2, 2), Duration::ZERO), BeatChange::Refreshed);
+    assert_eq!(
+        registry.apply_heartbeat(at(40), start(2_000, 2, 2), Duration::ZERO),
+        BeatChange::Refreshed
+    );
     // The other order: the later one is met first.
     let mut registry = EndpointRegistry::default();
-    registry.take(at(10), start(2_000, 2, 1), Duration::ZERO);
-    assert_eq!(registry.take(at(20), start(1_000, 1, 7), Duration::ZERO), BeatChange::Stale);
+    registry.apply_heartbeat(at(10), start(2_000, 2, 1), Duration::ZERO);
+    assert_eq!(
+        registry.apply_heartbeat(at(20), start(1_000, 1, 7), Duration::ZERO),
+        BeatChange::Stale
+    );
     assert_eq!(known(&registry), ["i-1@2000"]);
     // After a farewell only a later start comes back; a farewell without a time means the latest.
     assert_eq!(registry.leave(&"i-1".parse().unwrap()), "i-1@2000".parse().ok());
-    assert_eq!(registry.take(at(30), start(2_000, 2, 9), Duration::ZERO), BeatChange::Stale);
-    assert_eq!(registry.take(at(40), start(3_000, 3, 1), Duration::ZERO), BeatChange::Met);
-    assert_eq!(registry.take(at(50), start(2_500, 3, 1), Duration::ZERO), BeatChange::Stale);
+    assert_eq!(
+        registry.apply_heartbeat(at(30), start(2_000, 2, 9), Duration::ZERO),
+        BeatChange::Stale
+    );
+    assert_eq!(
+        registry.apply_heartbeat(at(40), start(3_000, 3, 1), Duration::ZERO),
+        BeatChange::Met
+    );
+    assert_eq!(
+        registry.apply_heartbeat(at(50), start(2_500, 3, 1), Duration::ZERO),
+        BeatChange::Stale
+    );
     assert_eq!(known(&registry), ["i-1@3000"]);
 }
 
 #[test]
 fn a_late_heartbeat_does_not_take_an_address_back() {
     let mut registry = EndpointRegistry::default();
-    registry.take(at(10), beat("i-new@2000", 1, 1, EndpointPhase::Serving), Duration::ZERO);
+    registry.apply_heartbeat(
+        at(10),
+        beat("i-new@2000", 1, 1, EndpointPhase::Serving),
+        Duration::ZERO,
+    );
     let late = beat("i-old@1000", 1, 40, EndpointPhase::Serving);
-    assert_eq!(registry.take(at(900), late, Duration::ZERO), BeatChange::Stale);
+    assert_eq!(registry.apply_heartbeat(at(900), late, Duration::ZERO), BeatChange::Stale);
     assert_eq!(registry.at(SocketAddr::from(([10, 0, 0, 1], 1))), "i-new@2000".parse().ok());
 }
 
@@ -179,13 +204,13 @@
     let mut registry = EndpointRegistry::default();
     let serving =
         |endpoint: &str, port, sequence| beat(endpoint, port, sequence, EndpointPhase::Serving);
-    registry.take(at(1_000), serving("i-1", 1, 1), Duration::ZERO);
-    registry.take(at(1_000), serving("i-2", 2, 1), Duration::ZERO);
-    registry.take(at(1_000), serving("i-3", 3, 1), Duration::ZERO);
-    registry.take(at(5_000), serving("i-1", 1, 2), Duration::ZERO);
-    registry.take(at(5_100), beat("i-2", 2, 2, EndpointPhase::Draining), Duration::ZERO);
+    registry.apply_heartbeat(at(1_000), serving("i-1", 1, 1), Duration::ZERO);
+    registry.apply_heartbeat(at(1_000), serving("i-2", 2, 1), Duration::ZERO);
+    registry.apply_heartbeat(at(1_000), serving("i-3", 3, 1), Duration::ZERO);
+    registry.apply_heartbeat(at(5_000), serving("i-1", 1, 2), Duration::ZERO);
+    registry.apply_heartbeat(at(5_100), beat("i-2", 2, 2, EndpointPhase::Draining), Duration::ZERO);
     registry.leave(&"i-3".parse().unwrap());
-    registry.take(at(5_200), serving("i-4", 4, 1), Duration::ZERO);
+    registry.apply_heartbeat(at(5_200), serving("i-4", 4, 1), Duration::ZERO);
     let changed = registry.changed_notices(at(6_000), at(3_000));
     let names: Vec<String> =
         changed.iter().map(|notice| notice.beat.endpoint.to_string()).collect();
@@ -204,11 +229,11 @@
         ..beat("a", 1, sequence, EndpointPhase::Serving)
     };
     let endpoint = cold(1, 0).endpoint;
-    registry.take(at(10_000), cold(1, 0), Duration::ZERO);
+    registry.apply_heartbeat(at(10_000), cold(1, 0), Duration::ZERO);
     assert!(!registry.is_cold(at(10_000), &endpoint, span));
     // Relayed by another instance, 200 ms after the heartbeat.
     assert_eq!(
-        registry.take(at(11_000), cold(2, 2_500), Duration::from_millis(200)),
+        registry.apply_heartbeat(at(11_000), cold(2, 2_500), Duration::from_millis(200)),
         BeatChange::Changed
     );
     assert!(registry.is_cold(at(13_200), &endpoint, span));
@@ -221,7 +246,7 @@
     let mut registry = EndpointRegistry::default();
     let warm = |sequence| beat("a", 1, sequence, EndpointPhase::Serving);
     let (endpoint, data_centre) = (warm(1).endpoint, warm(1).data_centre);
-    registry.take(at(10_000), warm(1), Duration::ZERO);
+    registry.apply_heartbeat(at(10_000), warm(1), Duration::ZERO);
     registry.set_drained(at(10_100), [data_centre].into());
     assert!(registry.takes_work(&endpoint).is_none(), "a drained data centre gets no work");
     assert!(registry.is_serving(&endpoint));
@@ -232,7 +257,7 @@
         !registry.is_cold(at(15_000), &endpoint, span),
         "an endpoint stays cold for `span` at most"
     );
-    registry.take(at(12_600), warm(2), Duration::ZERO);
+    registry.apply_heartbeat(at(12_600), warm(2), Duration::ZERO);
     assert!(!registry.is_cold(at(12_700), &endpoint, span));
 }
 
