--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -64,7 +64,7 @@
     /// # Errors
     ///
     /// Returns an error when signals cannot be waited for.
-    pub fn take_over() -> Result<Self, GatewayError> {
+    pub fn register() -> Result<Self, GatewayError> {
         let failed = |source| GatewayError::Signals { source };
         Ok(Self {
             terminate: signal(SignalKind::terminate()).map_err(failed)?,
