--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -173,7 +173,7 @@
     }
 
     /// Reads the settings file again on SIGHUP and when it has changed without a signal.
-    pub async fn keep_settings(self: Rc<Self>, file: PathBuf) {
+    pub async fn reload_settings_on_change(self: Rc<Self>, file: PathBuf) {
         let Ok(mut hangup) = signal(SignalKind::hangup()) else {
             self.line(EventKind::Reload).text("outcome", "SIGHUP cannot be waited for");
             return;
