--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -1,9 +1,10 @@
-//! Requests that end their endpoints: what this daemon saw of them, what the others did, and who is told.
+//! Replication of the quarantine table, which holds the requests under which endpoints ended.
 //!
-//! Each daemon keeps a whole table and judges by it, so a request that comes again is known at any of
-//! them, whoever leads and whoever is away. What is new is told to all at once. Whoever missed it, as a
-//! link was lost or it had not started, is told on the next link, and in any case finds out by the
-//! tables' hash, which daemons that know of such requests exchange with one other each second.
+//! Each daemon keeps the whole table and judges requests by it, so that every daemon recognises a
+//! request that is sent again, whichever daemon leads and whichever daemons are away. New facts are
+//! sent to all daemons at once. A daemon that missed a fact, because a link was lost or the daemon had
+//! not started yet, receives it on the next link. As a second safeguard, each daemon whose table is
+//! not empty exchanges the hash of its table with one random other daemon each second.
 
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
@@ -22,71 +23,73 @@
 use crate::peers::PeerMessage;
 use crate::quarantine_disk::QuarantineDisk;
 
-/// Between two comparisons with another daemon, and between two looks for what is too old. With 360
-/// daemons a fact that one of them knows is known to all within some ten of them.
-const COMPARE_EVERY: Duration = Duration::from_millis(1_000);
+/// The interval at which the table is compared with another daemon's and old cases are removed. With
+/// 360 daemons, a fact that one daemon knows reaches all of them within about ten intervals.
+const COMPARE_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// What the table's times are ahead of the process's, which begin near zero: longer than any case is kept,
-/// so that the times of ends from before the start of this process keep their distances.
-const BEFORE_START: Duration = Duration::from_secs(7 * 24 * 3_600);
+/// The offset of the table's times from the times of the process, which begin near zero. The offset is
+/// longer than any case is kept, so that ends before the start of this process keep their ages.
+const TABLE_TIME_OFFSET: Duration = Duration::from_secs(7 * 24 * 3_600);
 
-/// Requests in one message at most, so that no frame is long.
-const CASES_A_MESSAGE: usize = 64;
+/// The maximum number of requests in one message, which limits the length of a frame.
+const MAX_CASES_PER_MESSAGE: usize = 64;
 
-/// What this daemon knows of requests that end their endpoints.
+/// The quarantine table of this daemon, and what has been logged and stored of it.
 #[derive(Default)]
 pub(crate) struct QuarantineState {
     pub(crate) table: QuarantineTable,
-    /// Those whose quarantine has a line in the log.
+    /// The requests whose quarantine has been logged.
     logged: BTreeSet<RequestDigest>,
-    /// What the disk was last told to keep: requests, and how many ends of each, open and cleared.
-    kept: Vec<(RequestDigest, usize, usize)>,
-    /// Where quarantined requests survive the end of all processes; on daemons with a disk.
+    /// What was last passed to the disk thread: each request with its number of ends and its number of
+    /// cleared ends.
+    persisted: Vec<(RequestDigest, usize, usize)>,
+    /// Stores the cases that must survive the end of all processes. Only daemons with a disk have it.
     disk: Option<QuarantineDisk>,
 }
 
 impl Gateway {
-    /// Notes that an endpoint ended under a request of a caller here.
+    /// Records that an endpoint ended under a request of one of this daemon's callers.
     pub(crate) fn record_endpoint_end(&self, digest: RequestDigest, endpoint: &EndpointStart) {
         let news = self.quarantine.borrow_mut().table.end(self.case_time(), digest, endpoint);
-        self.quarantine_changed(news);
+        self.on_quarantine_change(news);
     }
 
-    /// Notes that a request was answered whole: what ended under it before was not its doing.
+    /// Records that a request was answered completely, so that it did not cause the earlier ends of
+    /// endpoints.
     pub(crate) fn record_complete_answer(&self, digest: impl FnOnce() -> RequestDigest) {
         if self.quarantine.borrow().table.is_empty() {
             return;
         }
         let news = self.quarantine.borrow_mut().table.clear(self.case_time(), digest());
-        self.quarantine_changed(news);
+        self.on_quarantine_change(news);
     }
 
-    /// Lists the requests that something speaks against.
+    /// Lists the suspect and the quarantined requests.
     pub(crate) fn suspect_requests(&self) -> Vec<CaseSummary> {
         self.quarantine.borrow().table.list(self.case_time())
     }
 
-    /// Takes an operator's word that what ended under a request was not its doing; returns whether
-    /// anything spoke against it.
+    /// Releases a request on an operator's behalf: the ends of endpoints under it no longer count
+    /// against it. Returns whether any did.
     pub(crate) fn release_request(&self, digest: RequestDigest) -> bool {
         let news = self.quarantine.borrow_mut().table.clear(self.case_time(), digest);
-        let is_news = news.is_some();
-        self.quarantine_changed(news);
-        is_news
+        let is_released = news.is_some();
+        self.on_quarantine_change(news);
+        is_released
     }
 
-    /// Returns the present time of the table.
+    /// Returns the current time on the table's time scale.
     fn case_time(&self) -> MonotonicTime {
-        self.now() + BEFORE_START
+        self.now() + TABLE_TIME_OFFSET
     }
 
-    /// Returns how long ago the last endpoint ended under a request.
+    /// Returns the time since the last endpoint ended under a request.
     pub(crate) fn since_last_end(&self, digest: RequestDigest) -> Option<Duration> {
         let last_end = self.quarantine.borrow().table.last_end(digest)?;
         Some(self.case_time().since(last_end))
     }
 
-    /// Returns how a request stands.
+    /// Returns whether a request is clear, suspect or quarantined.
     pub(crate) fn standing(&self, digest: impl FnOnce() -> RequestDigest) -> Standing {
         let state = self.quarantine.borrow();
         if state.table.is_empty() {
@@ -95,12 +98,13 @@
         state.table.standing(self.case_time(), digest())
     }
 
-    /// Returns whether a quarantined request whose trial is due is tried here, and notes that it is. One
-    /// daemon of those in reach tries it, so that it reaches one endpoint and not one for each of them.
+    /// Begins the due trial of a quarantined request if this daemon is the one to run it; returns whether
+    /// it is. Only one of the daemons in reach runs the trial, so that the request reaches one endpoint
+    /// and not one endpoint per daemon.
     pub(crate) fn try_begin_trial(&self, digest: RequestDigest) -> bool {
         let now = self.now();
         let own_rank = rank(&self.own, &digest);
-        // Leaves do not know each other, so only hubs run trials in tiers.
+        // Leaves do not know each other, so with tiers only hubs run trials.
         let tier = self.tier();
         let is_first = tier != Tier::Leaf && {
             let roster = self.roster.borrow();
@@ -113,7 +117,7 @@
         is_first
     }
 
-    /// Takes in what another daemon knows.
+    /// Merges the facts that another daemon sent, and forwards those that are new.
     pub(crate) fn on_case_news(&self, from: &InstanceId, news: &[CaseNews]) {
         let now = self.case_time();
         let fresh: Vec<CaseNews> = {
@@ -121,16 +125,16 @@
             news.iter().filter(|case| table.merge(now, case)).cloned().collect()
         };
         let to = self.forward_targets(from);
-        for message in in_messages(&fresh) {
+        for message in case_messages(&fresh) {
             self.mesh.send_all(&to, &message);
         }
         if !fresh.is_empty() {
-            self.quarantine_judged(Some(from));
+            self.record_standings(Some(from));
         }
     }
 
-    /// Answers a daemon whose table is another one with what is known here, so that it can say what it
-    /// knows beyond that.
+    /// Handles the hash of another daemon's table. If the tables differ, sends all cases of this daemon
+    /// and, unless the message is itself an answer, its hash, so that the other daemon sends its cases.
     pub(crate) fn on_case_hash(&self, from: &InstanceId, hash: u64, is_answer: bool) {
         if hash == self.case_hash() {
             return;
@@ -144,24 +148,25 @@
         }
     }
 
-    /// Returns what to tell a daemon that has just come into reach, or back into it.
-    pub(crate) fn cases_for(&self, to: &InstanceId, is_back: bool) -> Vec<PeerMessage> {
-        let tells = is_back || self.settings().data_folder.is_some() || {
+    /// Returns the cases to send on a new link to a daemon; `is_reconnected` means that an earlier link
+    /// to it was lost.
+    pub(crate) fn cases_for(&self, to: &InstanceId, is_reconnected: bool) -> Vec<PeerMessage> {
+        let is_sender = is_reconnected || self.settings().data_folder.is_some() || {
             let roster = self.roster.borrow();
             is_sponsor(&self.own, to, roster.alive(self.now()).map(|note| &note.instance))
         };
-        if tells { self.all_cases() } else { Vec::new() }
+        if is_sender { self.all_cases() } else { Vec::new() }
     }
 
-    /// Compares the table with another daemon's again and again, and forgets what is too old.
-    pub(crate) async fn keep_quarantine(self: Rc<Self>) {
+    /// Periodically removes old cases and compares the table with that of another daemon.
+    pub(crate) async fn maintain_quarantine(self: Rc<Self>) {
         loop {
-            sleep(COMPARE_EVERY).await;
+            sleep(COMPARE_INTERVAL).await;
             if self.quarantine.borrow().table.is_empty() {
                 continue;
             }
             self.quarantine.borrow_mut().table.expire(self.case_time());
-            self.quarantine_judged(None);
+            self.record_standings(None);
             let other = {
                 let roster = self.roster.borrow();
                 let alive = roster.alive(self.now()).map(|note| note.instance.clone());
@@ -174,8 +179,8 @@
         }
     }
 
-    /// Takes over what survived on this daemon's disk, and keeps it there from now on.
-    pub(crate) async fn keep_quarantine_on_disk(self: Rc<Self>, folder: std::path::PathBuf) {
+    /// Loads the cases stored on this daemon's disk, and stores changes from then on.
+    pub(crate) async fn persist_quarantine(self: Rc<Self>, folder: std::path::PathBuf) {
         let (disk, loaded) = match QuarantineDisk::start(folder) {
             Ok(started) => started,
             Err(error) => {
@@ -185,24 +190,24 @@
             }
         };
         self.quarantine.borrow_mut().disk = Some(disk);
-        // The thread ends without a word where its disk hangs for good.
+        // The thread sends nothing if its disk hangs for good.
         if let Ok(cases) = loaded.await {
             let own = self.own.clone();
             self.on_case_news(&own, &cases);
-            self.tell_cases(&cases);
+            self.broadcast_cases(&cases);
         }
     }
 
-    fn quarantine_changed(&self, news: Option<CaseNews>) {
+    fn on_quarantine_change(&self, news: Option<CaseNews>) {
         if let Some(news) = news {
-            self.tell_cases(&[news]);
-            self.quarantine_judged(None);
+            self.broadcast_cases(&[news]);
+            self.record_standings(None);
         }
     }
 
-    /// Writes down who has come into quarantine or out of it, here and on the disk.
-    fn quarantine_judged(&self, from: Option<&InstanceId>) {
-        self.keep_lasting_cases();
+    /// Logs the requests that entered or left quarantine, and stores what has to survive.
+    fn record_standings(&self, from: Option<&InstanceId>) {
+        self.persist_lasting_cases();
         self.log_quarantine(from);
     }
 
@@ -239,32 +244,32 @@
         state.logged = present;
     }
 
-    /// Keeps on the disk what must survive the end of all processes, where it has changed.
-    fn keep_lasting_cases(&self) {
+    /// Stores the cases that must survive the end of all processes, if they have changed.
+    fn persist_lasting_cases(&self) {
         let mut state = self.quarantine.borrow_mut();
         let state = &mut *state;
         let Some(disk) = &state.disk else { return };
         let news = state.table.lasting_news(self.case_time());
-        let kept: Vec<_> =
+        let lasting: Vec<_> =
             news.iter().map(|case| (case.digest, case.ends.len(), case.cleared.len())).collect();
-        if kept != state.kept {
-            state.kept = kept;
-            disk.keep(news);
+        if lasting != state.persisted {
+            state.persisted = lasting;
+            disk.store(news);
         }
     }
 
-    fn tell_cases(&self, news: &[CaseNews]) {
+    fn broadcast_cases(&self, news: &[CaseNews]) {
         let to = self.news_targets();
-        for message in in_messages(news) {
+        for message in case_messages(news) {
             self.mesh.send_all(&to, &message);
         }
     }
 
     pub(crate) fn all_cases(&self) -> Vec<PeerMessage> {
-        in_messages(&self.quarantine.borrow().table.news(self.case_time()))
+        case_messages(&self.quarantine.borrow().table.news(self.case_time()))
     }
 
-    /// Returns a number that is the same for the same facts, whenever they were learnt.
+    /// Returns a hash of the facts in the table that does not depend on when they were learnt.
     fn case_hash(&self) -> u64 {
         let mut hasher = xxhash_rust::xxh3::Xxh3Default::new();
         for case in self.quarantine.borrow().table.news(MonotonicTime::ZERO) {
@@ -276,6 +281,6 @@
     }
 }
 
-fn in_messages(news: &[CaseNews]) -> Vec<PeerMessage> {
-    news.chunks(CASES_A_MESSAGE).map(|cases| PeerMessage::Cases(cases.to_vec())).collect()
+fn case_messages(news: &[CaseNews]) -> Vec<PeerMessage> {
+    news.chunks(MAX_CASES_PER_MESSAGE).map(|cases| PeerMessage::Cases(cases.to_vec())).collect()
 }
--- a/crates/gateway/src/quarantine_disk.rs
+++ b/crates/gateway/src/quarantine_disk.rs
@@ -1,9 +1,10 @@
-//! What is known of fatal requests on a disk, so that the end of all processes does not let them loose
-//! again.
+//! Storage of quarantine cases on disk, so that quarantined requests are still known after all processes
+//! have ended.
 //!
-//! A hint, not a promise: what is lost here costs as many ends of endpoints as a request that is seen for
-//! the first time. So it needs no log and no agreement, and a disk that fails is only told of. Requests
-//! that have lost one endpoint and have not been answered since are not kept, as most of them are innocent.
+//! The storage is best effort: if it loses a request, that request costs as many ends of endpoints as
+//! one that is seen for the first time. It therefore needs neither the replicated log nor consensus,
+//! and a disk that fails is only reported, by the replica of the log. Requests under which one endpoint
+//! ended and that were not answered since are not stored, because most of them did not cause that end.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -13,48 +14,48 @@
 use oriolepass_quarantine::CaseNews;
 use tokio::sync::oneshot;
 
-/// The file's name in the data folder.
-const FILE: &str = "quarantined";
+/// The name of the file in the data folder.
+const FILE_NAME: &str = "quarantined";
 
-/// The name under which the next file is written.
-const DRAFT: &str = "quarantined.draft";
+/// The name of the temporary file, which replaces the file once it is complete.
+const DRAFT_NAME: &str = "quarantined.draft";
 
-/// Changes that wait for a slow disk; the newest one says everything, and one that finds no room is
-/// followed by another at the next change.
-const WAITING_CHANGES: usize = 4;
+/// The maximum number of changes that wait for a slow disk. The newest change holds the whole state. One
+/// that does not fit is dropped, and the next change replaces it.
+const MAX_QUEUED_CHANGES: usize = 4;
 
-/// The thread that keeps quarantined requests on a disk.
+/// The handle of the thread that stores quarantine cases on disk.
 pub(crate) struct QuarantineDisk {
     changes: SyncSender<Vec<CaseNews>>,
 }
 
 impl QuarantineDisk {
-    /// Starts the thread, and returns what it will have read.
+    /// Starts the thread. Returns the handle, and a receiver of the cases read from the disk.
     ///
     /// # Errors
     ///
     /// Returns the operating system's error when the thread cannot be started.
     pub(crate) fn start(folder: PathBuf) -> io::Result<(Self, oneshot::Receiver<Vec<CaseNews>>)> {
-        let (changes, to_write) = sync_channel(WAITING_CHANGES);
+        let (changes, queued) = sync_channel(MAX_QUEUED_CHANGES);
         let (report, loaded) = oneshot::channel();
         std::thread::Builder::new().name("quarantine".into()).spawn(move || {
-            // Nobody waits for it where the process ends at once.
+            // The receiver is gone if the process is already stopping.
             let _ = report.send(read(&folder));
-            write_changes(&folder, &to_write);
+            write_changes(&folder, &queued);
         })?;
         Ok((Self { changes }, loaded))
     }
 
-    /// Keeps these requests and no others. Never waits.
-    pub(crate) fn keep(&self, cases: Vec<CaseNews>) {
-        // A full ring: the disk is slow, and the next change says all that this one does.
+    /// Replaces the stored cases with these. Never blocks.
+    pub(crate) fn store(&self, cases: Vec<CaseNews>) {
+        // The queue is full if the disk is slow; the next change holds all that this one does.
         let _ = self.changes.try_send(cases);
     }
 }
 
-/// Reads what an earlier process kept; nothing where there is none, or it cannot be read.
+/// Reads the cases that an earlier process stored. Returns none if there is no file or it cannot be read.
 fn read(folder: &Path) -> Vec<CaseNews> {
-    let bytes = fs::read(folder.join(FILE)).unwrap_or_default();
+    let bytes = fs::read(folder.join(FILE_NAME)).unwrap_or_default();
     postcard::from_bytes(&bytes).unwrap_or_default()
 }
 
@@ -63,7 +64,7 @@
         while let Ok(next) = changes.try_recv() {
             newest = next;
         }
-        // A disk that takes nothing is told of by the replica of the log, which needs it more.
+        // The replica of the log reports a disk that fails, because it depends on the same disk.
         let _ = write(folder, &newest);
     }
 }
@@ -71,9 +72,9 @@
 fn write(folder: &Path, cases: &[CaseNews]) -> io::Result<()> {
     let bytes = postcard::to_stdvec(cases).map_err(io::Error::other)?;
     fs::create_dir_all(folder)?;
-    let mut draft = File::create(folder.join(DRAFT))?;
+    let mut draft = File::create(folder.join(DRAFT_NAME))?;
     draft.write_all(&bytes)?;
     draft.sync_all()?;
-    fs::rename(folder.join(DRAFT), folder.join(FILE))?;
+    fs::rename(folder.join(DRAFT_NAME), folder.join(FILE_NAME))?;
     File::open(folder)?.sync_all()
 }
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -1,4 +1,4 @@
-//! Starts the gateway's tasks on the present event loop.
+//! Starts the gateway's listeners and tasks on the current event loop.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,13 +18,13 @@
 use crate::operators::answer_operator;
 use crate::replica::ReplicaDriver;
 
-/// Bodies of calls to the address for metrics are empty, or a digest.
-const OPERATOR_BODY: usize = 1_024;
+/// The maximum length of a body on the metrics address, where bodies are empty or a digest.
+const MAX_OPERATOR_BODY_BYTES: usize = 1_024;
 
 /// The reason that a gateway did not start.
 #[derive(Debug, Error)]
 pub enum GatewayError {
-    /// An address cannot be listened on.
+    /// A listener cannot be opened on an address.
     #[error("cannot listen on {address}: {source}; free it or change it under [listen]")]
     Listen {
         /// The address.
@@ -32,33 +32,36 @@
         /// The operating system's error.
         source: io::Error,
     },
-    /// Signals cannot be waited for.
-    #[error("cannot wait for signals: {source}; raise the limit of descriptors")]
+    /// Signal handlers cannot be registered.
+    #[error("cannot wait for signals: {source}; raise the limit on file descriptors")]
     Signals {
         /// The operating system's error.
         source: io::Error,
     },
     /// The event loop or the log's thread cannot be started.
-    #[error("cannot start the event loop: {source}; raise the limits of threads and descriptors")]
+    #[error(
+        "cannot start the event loop: {source}; raise the limits on threads and file descriptors"
+    )]
     EventLoop {
         /// The operating system's error.
         source: io::Error,
     },
 }
 
-/// Listens on an address, for a face of the product.
+/// Listens on an address, for a front end of the product.
 ///
 /// # Errors
 ///
-/// Returns an error when the address cannot be had.
+/// Returns an error when the address cannot be bound.
 pub fn listen(address: SocketAddr) -> Result<tokio::net::TcpListener, GatewayError> {
     net::listen(address).map_err(|source| GatewayError::Listen { address, source })
 }
 
-/// Starts a gateway: its callers' listener, its part in the cluster, its metrics. The listeners
-/// for operators, endpoints and the directory belong to the face that starts it.
+/// Starts a gateway: the callers' listener, the tasks of the cluster and the metrics listener. The
+/// front end that calls this function opens the listeners for operators, endpoints and the
+/// directory.
 ///
-/// To be called within a `LocalSet`, whose end ends the gateway.
+/// Call this within a `LocalSet`. The gateway stops when the `LocalSet` is dropped.
 ///
 /// # Errors
 ///
@@ -93,12 +96,12 @@
         spawn_local(Rc::clone(&gateway).run_replica(to_loop));
         spawn_local(Rc::clone(&gateway).maintain_voters());
         spawn_local(Rc::clone(&gateway).keep_updating_leaves());
-        spawn_local(Rc::clone(&gateway).keep_quarantine_on_disk(folder));
+        spawn_local(Rc::clone(&gateway).persist_quarantine(folder));
     }
     spawn_local(Rc::clone(&gateway).send_greetings_periodically());
     spawn_local(Rc::clone(&gateway).refresh_proof_periodically());
     spawn_local(Rc::clone(&gateway).keep_passing_on());
-    spawn_local(Rc::clone(&gateway).keep_quarantine());
+    spawn_local(Rc::clone(&gateway).maintain_quarantine());
     spawn_local(serve_callers(Rc::clone(&gateway), callers));
     serve_operators(&gateway, listen_at.metrics);
     Ok(gateway)
@@ -108,11 +111,11 @@
     match listen(address) {
         Ok(listener) => {
             let gateway = Rc::clone(gateway);
-            spawn_local(serve_calls(listener, OPERATOR_BODY, move |call| {
+            spawn_local(serve_calls(listener, MAX_OPERATOR_BODY_BYTES, move |call| {
                 answer_operator(Rc::clone(&gateway), call)
             }));
         }
-        // Serving goes before being watched.
+        // Callers are served even if the metrics are not.
         Err(error) => {
             let line = gateway.line(EventKind::Ignored).text("reason", error);
             line.text("outcome", "no metrics are served");
