--- a/crates/gateway/src/endpoints.rs
+++ b/crates/gateway/src/endpoints.rs
@@ -1,7 +1,8 @@
-//! The endpoints that have announced themselves, at this daemon or at another.
+//! The registry of endpoints that have announced themselves to this daemon or to another.
 //!
-//! The state is soft: nothing of it is on a disk. Each endpoint names its start by an id and a time
-//! and numbers its heartbeats, so that a late one is told from a new one whichever daemon got it.
+//! The state is soft: none of it is stored on disk. Each endpoint identifies its start by an id and a
+//! time and numbers its heartbeats, so that every daemon can tell a late heartbeat from a new one,
+//! whichever daemon received it first.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -14,64 +15,65 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Ids of endpoints that have left and are remembered, so that a late heartbeat does not bring
-/// one back.
-const REMEMBERED_LEAVERS: usize = 4_096;
+/// The maximum number of departed starts that are remembered, so that a late heartbeat does not add
+/// a departed endpoint again.
+const MAX_REMEMBERED_DEPARTURES: usize = 4_096;
 
-/// An endpoint that was heard within this time keeps its address against one that says it started
-/// earlier: a heartbeat may come seconds late, after another start has taken the address. Later the
-/// clocks of the two may be at fault, and the one that is heard counts.
-const KEEPS_ADDRESS: Duration = Duration::from_secs(4);
+/// How long after its last heartbeat an endpoint keeps its address against another endpoint whose
+/// start time is earlier. A heartbeat may arrive seconds late, after another start has taken the
+/// address. After this time the start times may be wrong because the clocks differ, and the endpoint
+/// that sends heartbeats gets the address.
+const ADDRESS_HOLD_TIME: Duration = Duration::from_secs(4);
 
 /// Whether an endpoint takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointPhase {
-    /// It does.
+    /// The endpoint takes new work.
     Serving,
-    /// It is about to leave.
+    /// The endpoint takes no new work and is about to leave.
     Draining,
 }
 
-/// What an endpoint says of itself in a heartbeat.
+/// An endpoint's heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointBeat {
-    /// Names this start of the endpoint.
+    /// The start of the endpoint.
     pub endpoint: EndpointStart,
-    /// The service that it belongs to.
+    /// The service that the endpoint belongs to.
     pub service: ServiceName,
-    /// Where it takes requests.
+    /// The address at which the endpoint takes requests.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// The endpoint's data centre.
     pub data_centre: DataCentreId,
-    /// Requests that it runs at once.
+    /// The maximum number of requests that the endpoint runs concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether the endpoint takes new work.
     pub phase: EndpointPhase,
-    /// Counts its heartbeats.
+    /// The number of the heartbeat.
     pub sequence: u64,
-    /// How long it stays cold, counted from the heartbeat.
+    /// How long the endpoint stays cold, counted from the heartbeat.
     pub cold_remaining: Duration,
 }
 
-/// What one daemon tells another of an endpoint.
+/// A daemon's report of an endpoint to another daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointNotice {
-    /// The last heartbeat known.
+    /// The last heartbeat that the daemon knows.
     pub beat: EndpointBeat,
-    /// How long ago it came.
+    /// The age of the heartbeat.
     pub age: Duration,
 }
 
-/// What a heartbeat or a notice changed.
+/// The effect of a heartbeat or a notice on the registry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BeatChange {
-    /// The endpoint was not known.
+    /// The endpoint was not known and has been added.
     Met,
-    /// It takes work, or no longer, or moved.
+    /// The endpoint's phase, address, service or cold state changed.
     Changed,
-    /// It is alive.
+    /// Only the time of the last heartbeat changed.
     Refreshed,
-    /// Nothing: the news was older than what is known.
+    /// Nothing changed: the heartbeat was older than the known state.
     Stale,
 }
 
@@ -79,7 +81,7 @@
 struct EndpointEntry {
     beat: EndpointBeat,
     heard: MonotonicTime,
-    /// When what other daemons must be told of it last changed here.
+    /// When the state that other daemons must learn last changed here.
     changed: MonotonicTime,
 }
 
@@ -89,7 +91,7 @@
     }
 }
 
-/// The endpoints known here.
+/// The endpoints that this daemon knows.
 #[derive(Debug, Default)]
 pub struct EndpointRegistry {
     entries: BTreeMap<EndpointStart, EndpointEntry>,
@@ -102,22 +104,22 @@
     generation: u64,
     /// The generation and view hash computed last.
     cached_view_hash: Cell<(u64, u64)>,
-    /// The time of the last heartbeat taken in, which changes are dated by.
-    latest: MonotonicTime,
+    /// The time of the last heartbeat applied, used as the time of changes.
+    last_heartbeat_at: MonotonicTime,
 }
 
 impl EndpointRegistry {
-    /// Takes in a heartbeat that came `age` ago.
+    /// Applies a heartbeat that was received `age` ago.
     pub fn apply_heartbeat(
         &mut self,
         now: MonotonicTime,
         beat: EndpointBeat,
         age: Duration,
     ) -> BeatChange {
-        self.latest = self.latest.max(now);
+        self.last_heartbeat_at = self.last_heartbeat_at.max(now);
         let heard = now - age;
         let Some(entry) = self.entries.get_mut(&beat.endpoint) else {
-            return self.meet(heard, beat);
+            return self.add_start(heard, beat);
         };
         if entry.beat.sequence >= beat.sequence {
             return BeatChange::Stale;
@@ -136,54 +138,57 @@
         BeatChange::Refreshed
     }
 
-    /// Takes in the first heartbeat of a start. One that is known is never over, so only here is
-    /// that asked.
-    fn meet(&mut self, heard: MonotonicTime, beat: EndpointBeat) -> BeatChange {
-        if self.is_over(&beat.endpoint) {
+    /// Applies the first heartbeat of a start. Only unknown starts can have ended, so only this
+    /// function checks for that.
+    fn add_start(&mut self, heard: MonotonicTime, beat: EndpointBeat) -> BeatChange {
+        if self.has_ended(&beat.endpoint) {
             return BeatChange::Stale;
         }
-        if self.is_address_kept(heard, &beat) {
+        if self.is_address_held(heard, &beat) {
             self.leave(&beat.endpoint);
             return BeatChange::Stale;
         }
         if let Some(earlier) = self.current(beat.endpoint.id()).cloned() {
             self.leave(&earlier);
         }
-        self.displace(heard, &beat);
-        self.entries
-            .insert(beat.endpoint.clone(), EndpointEntry { beat, heard, changed: self.latest });
+        self.remove_older_at_address(heard, &beat);
+        self.entries.insert(
+            beat.endpoint.clone(),
+            EndpointEntry { beat, heard, changed: self.last_heartbeat_at },
+        );
         self.generation += 1;
         BeatChange::Met
     }
 
-    /// Returns whether a start has left, or a later start of the same endpoint is known.
-    fn is_over(&self, start: &EndpointStart) -> bool {
+    /// Returns whether a start has left or a later start of the same endpoint is known.
+    fn has_ended(&self, start: &EndpointStart) -> bool {
         let later = |other: &EndpointStart| other.id() == start.id() && other.time() > start.time();
         let next_left = self.left.range(start..).next();
         let has_left = next_left.is_some_and(|other| other == start || later(other));
         has_left || self.current(start.id()).is_some_and(later)
     }
 
-    /// Returns the start of an endpoint that is known. There is one at most: a later one ends it.
+    /// Returns the known start of an endpoint. There is at most one, because a later start replaces an
+    /// earlier one.
     fn current(&self, endpoint: &EndpointId) -> Option<&EndpointStart> {
         let first = EndpointStart::new(endpoint.clone(), StartTime::ZERO);
         let (next, _) = self.entries.range(first..).next()?;
         (next.id() == endpoint).then_some(next)
     }
 
-    /// Returns whether the address is that of a later start of another endpoint.
-    fn is_address_kept(&self, heard: MonotonicTime, beat: &EndpointBeat) -> bool {
+    /// Returns whether a later start of another endpoint holds the address.
+    fn is_address_held(&self, heard: MonotonicTime, beat: &EndpointBeat) -> bool {
         let time = beat.endpoint.time();
         self.entries.values().any(|entry| {
             entry.beat.address == beat.address
                 && time > StartTime::ZERO
                 && entry.beat.endpoint.time() > time
-                && heard.since(entry.heard) < KEEPS_ADDRESS
+                && heard.since(entry.heard) < ADDRESS_HOLD_TIME
         })
     }
 
-    /// Forgets an older endpoint whose address is used again: it cannot be there any more.
-    fn displace(&mut self, heard: MonotonicTime, beat: &EndpointBeat) {
+    /// Removes the endpoint that held the address before: it cannot run any more.
+    fn remove_older_at_address(&mut self, heard: MonotonicTime, beat: &EndpointBeat) {
         let older =
             |entry: &&EndpointEntry| entry.beat.address == beat.address && entry.heard < heard;
         let displaced = self.entries.values().find(older).map(|e| e.beat.endpoint.clone());
@@ -192,27 +197,27 @@
         }
     }
 
-    /// Notes that a start has left for good; returns which one, if that is news. A start without a
-    /// time means the one that is known.
+    /// Records that a start has left for good. Returns the start, or `None` if that was already
+    /// recorded. A start without a time stands for the known start of that endpoint.
     pub fn leave(&mut self, endpoint: &EndpointStart) -> Option<EndpointStart> {
-        let is_unnamed = endpoint.time() == StartTime::ZERO;
-        let known = is_unnamed.then(|| self.current(endpoint.id()).cloned()).flatten();
-        let leaver = known.unwrap_or_else(|| endpoint.clone());
-        if !self.left.insert(leaver.clone()) {
+        let is_without_time = endpoint.time() == StartTime::ZERO;
+        let known = is_without_time.then(|| self.current(endpoint.id()).cloned()).flatten();
+        let departed_start = known.unwrap_or_else(|| endpoint.clone());
+        if !self.left.insert(departed_start.clone()) {
             return None;
         }
-        self.left_order.push_back((self.latest, leaver.clone()));
-        if self.left_order.len() > REMEMBERED_LEAVERS
+        self.left_order.push_back((self.last_heartbeat_at, departed_start.clone()));
+        if self.left_order.len() > MAX_REMEMBERED_DEPARTURES
             && let Some((_, oldest)) = self.left_order.pop_front()
         {
             self.left.remove(&oldest);
         }
-        self.entries.remove(&leaver);
+        self.entries.remove(&departed_start);
         self.generation += 1;
-        Some(leaver)
+        Some(departed_start)
     }
 
-    /// Forgets endpoints that have been silent for `silence`; returns them.
+    /// Removes the endpoints that have been silent for longer than `silence`, and returns them.
     pub fn expire(&mut self, now: MonotonicTime, silence: Duration) -> Vec<EndpointStart> {
         let silent = |entry: &EndpointEntry| now.since(entry.heard) > silence;
         let expired: Vec<EndpointStart> = self
@@ -241,7 +246,7 @@
         self.entries.values().map(|entry| &entry.beat)
     }
 
-    /// Returns an endpoint if it takes new work.
+    /// Returns the last heartbeat of an endpoint if it takes new work.
     pub fn takes_work(&self, endpoint: &EndpointStart) -> Option<&EndpointBeat> {
         let entry = self.entries.get(endpoint)?;
         self.is_eligible(&entry.beat).then_some(&entry.beat)
@@ -251,7 +256,7 @@
         beat.phase == EndpointPhase::Serving && !self.drained.contains(&beat.data_centre)
     }
 
-    /// Returns whether an endpoint is known and serving, also in a drained data centre.
+    /// Returns whether an endpoint is known and serving, even if its data centre is drained.
     pub fn is_serving(&self, endpoint: &EndpointStart) -> bool {
         let entry = self.entries.get(endpoint);
         entry.is_some_and(|entry| entry.beat.phase == EndpointPhase::Serving)
@@ -279,7 +284,7 @@
         self.generation += 1;
     }
 
-    /// Returns the endpoint at an address; where several starts are known, the one heard last.
+    /// Returns the endpoint at an address; if several are known, the one heard last.
     pub fn at(&self, address: SocketAddr) -> Option<EndpointStart> {
         let here = self.entries.values().filter(|entry| entry.beat.address == address);
         here.max_by_key(|entry| entry.heard).map(|entry| entry.beat.endpoint.clone())
@@ -290,7 +295,8 @@
         self.entries.get(endpoint).map(|entry| now.since(entry.heard))
     }
 
-    /// Returns a number that grows with each change of who takes work where.
+    /// Returns a number that grows with each change to which endpoints take work, and at which
+    /// addresses.
     pub fn generation(&self) -> u64 {
         self.generation
     }
@@ -373,19 +379,19 @@
         known.map(|entry| entry.notice(now)).collect()
     }
 
-    /// Lists what is known, for another daemon; with `since`, only what was heard after it.
+    /// Lists as notices the endpoints that were heard after `since`.
     pub fn notices(&self, now: MonotonicTime, since: MonotonicTime) -> Vec<EndpointNotice> {
         let heard = self.entries.values().filter(|entry| entry.heard > since);
         heard.map(|entry| entry.notice(now)).collect()
     }
 
-    /// Lists what was met or has changed since a moment, for another daemon.
+    /// Lists as notices the endpoints that were added or have changed since `since`.
     pub fn changed_notices(&self, now: MonotonicTime, since: MonotonicTime) -> Vec<EndpointNotice> {
         let changed = self.entries.values().filter(|entry| entry.changed >= since);
         changed.map(|entry| entry.notice(now)).collect()
     }
 
-    /// Lists those that have left since a moment, newest first, at most `count`.
+    /// Lists up to `count` starts that have left since `since`, newest first.
     pub fn departed(&self, count: usize, since: MonotonicTime) -> Vec<EndpointStart> {
         let newest = self.left_order.iter().rev().take_while(|(at, _)| *at >= since);
         newest.take(count).map(|(_, endpoint)| endpoint.clone()).collect()
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,34 +1,34 @@
-//! Structured log lines: what the process decided, on what, and how it went.
+//! Structured log lines: the decisions of the process, their inputs and their outcomes.
 //!
-//! A line is a JSON object on standard output. Lines wait in a bounded buffer that a thread of
-//! its own writes out, so that a reader that stops reading never stops a request; lines that do
-//! not fit are counted, and the count is written as soon as there is room.
+//! A line is a JSON object on standard output. Lines are queued in a bounded buffer, and a separate
+//! thread writes them, so that a log reader that stops reading never blocks a request. Lines that
+//! do not fit are dropped and counted, and the count is written as soon as there is room.
 
 use std::fmt::{Display, Write as _};
 use std::io::Write as _;
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Bytes of lines that wait at most: some 3,000 lines, several seconds of a busy instance.
+/// The capacity of the buffer: about 3,000 lines, several seconds of a busy instance.
 const BUFFER_BYTES: usize = 512 * 1024;
 
-/// The writer's pause after each write, so that a burst of lines costs one wake-up.
-const WRITE_EVERY: Duration = Duration::from_millis(100);
+/// The writer's pause after each write, so that a burst of lines causes one wake-up.
+const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
 macro_rules! events {
     ($($(#[doc = $doc:literal])+ $name:ident = $text:literal;)*) => {
-        /// Every kind of line.
+        /// The kind of a log line.
         #[derive(Debug, Clone, Copy, PartialEq, Eq)]
         pub enum EventKind {
             $($(#[doc = $doc])+ $name,)*
         }
 
         impl EventKind {
-            /// All kinds with their names and meanings, for the operators' page.
+            /// All kinds with their names and descriptions, for the operators' page.
             pub const ALL: &'static [(&'static str, &'static str)] =
                 &[$(($text, concat!($($doc),+)),)*];
 
-            /// Returns the name as it stands in a line.
+            /// Returns the name of the kind in log lines.
             pub fn name(self) -> &'static str {
                 match self { $(Self::$name => $text,)* }
             }
@@ -120,7 +120,7 @@
     filled: Condvar,
 }
 
-/// Writes lines without ever waiting.
+/// The log of the process. Writing a line never blocks.
 #[derive(Clone)]
 pub struct EventLog {
     shared: Arc<SharedBuffer>,
@@ -154,7 +154,7 @@
         Self::start(instance, |bytes| std::io::stdout().lock().write_all(bytes))
     }
 
-    /// Begins a line; it is written when it is dropped.
+    /// Begins a line, which is queued for writing when it is dropped.
     pub fn line(&self, kind: EventKind) -> EventLine<'_> {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let mut text = String::with_capacity(256);
@@ -170,14 +170,14 @@
         EventLine { log: self, text }
     }
 
-    /// Returns how many lines were dropped and not yet reported.
+    /// Returns the number of lines that were dropped and not yet reported.
     pub fn dropped(&self) -> u64 {
         self.shared.buffer.lock().map_or(0, |buffer| buffer.dropped)
     }
 
-    /// Lets the writer write what waits, for at most `patience`.
-    pub fn flush(&self, patience: Duration) {
-        let deadline = std::time::Instant::now() + patience;
+    /// Waits until the writer has taken all queued lines, for at most `timeout`.
+    pub fn flush(&self, timeout: Duration) {
+        let deadline = std::time::Instant::now() + timeout;
         self.shared.filled.notify_one();
         while std::time::Instant::now() < deadline {
             let is_empty = self.shared.buffer.lock().is_ok_and(|buffer| buffer.text.is_empty());
@@ -188,8 +188,8 @@
         }
     }
 
-    fn put(&self, line: &str) {
-        // A poisoned lock means that the writer panicked: there is nothing to write to.
+    fn enqueue(&self, line: &str) {
+        // A poisoned lock means that the writer thread has panicked, so no line can be written.
         let Ok(mut buffer) = self.shared.buffer.lock() else { return };
         if buffer.text.len() + line.len() > BUFFER_BYTES {
             buffer.dropped += 1;
@@ -221,9 +221,9 @@
             let name = EventKind::LinesDropped.name();
             let _ = writeln!(text, "{{\"event\":\"{name}\",\"count\":{dropped}}}");
         }
-        // Nobody is left to be told that the log's own reader has gone.
+        // An error means that the reader of the log has gone; there is no other place to report it.
         let _ = write(text.as_bytes());
-        std::thread::sleep(WRITE_EVERY);
+        std::thread::sleep(WRITE_INTERVAL);
         let Ok(next) = shared.buffer.lock() else { return };
         buffer = next;
     }
@@ -236,7 +236,7 @@
 }
 
 impl EventLine<'_> {
-    /// Adds a text.
+    /// Adds a text field.
     pub fn text(mut self, key: &str, value: impl Display) -> Self {
         let value = value.to_string();
         let quoted = serde_json::to_string(&value).unwrap_or_else(|_| "\"?\"".to_owned());
@@ -244,19 +244,19 @@
         self
     }
 
-    /// Adds a number or a truth value.
+    /// Adds a numeric or boolean field.
     pub fn number(mut self, key: &str, value: impl Display) -> Self {
         let _ = write!(self.text, ",\"{key}\":{value}");
         self
     }
 
-    /// Adds a duration in milliseconds.
+    /// Adds a duration as a number of milliseconds.
     pub fn millis(mut self, key: &str, value: Duration) -> Self {
         let _ = write!(self.text, ",\"{key}\":{:.1}", value.as_secs_f64() * 1_000.0);
         self
     }
 
-    /// Adds a value where there is one.
+    /// Adds a text field if there is a value.
     pub fn maybe(self, key: &str, value: Option<impl Display>) -> Self {
         match value {
             Some(value) => self.text(key, value),
@@ -268,6 +268,6 @@
 impl Drop for EventLine<'_> {
     fn drop(&mut self) {
         self.text.push_str("}\n");
-        self.log.put(&self.text);
+        self.log.enqueue(&self.text);
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway: everything that the event loop's tasks share.
+//! The state that the tasks of the event loop share, and calls to other daemons.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -32,7 +32,7 @@
 use crate::replica::ReplicaDriver;
 use crate::roster::{DaemonNote, DaemonRoster};
 
-/// An answer from another daemon.
+/// Another daemon's answer to a call.
 pub(crate) enum PeerReply {
     Fresh(FreshVerdict),
     Proposed(DocumentVerdict),
@@ -43,27 +43,27 @@
     Repeat(bool),
 }
 
-/// What the event loop's tasks share. Each part is borrowed for the length of a call only, never
-/// across an await.
+/// The state that the tasks of the event loop share. Each part is borrowed only for the duration of
+/// a function call, never across an await.
 pub struct Gateway {
     pub(crate) settings: RefCell<Rc<GatewaySettings>>,
     pub(crate) dialect: WireDialect,
     pub(crate) clock: ProcessClock,
     pub(crate) log: EventLog,
     pub(crate) metrics: GatewayMetrics,
-    /// This daemon's name among the others: the address at which they reach it.
+    /// This daemon's id in the cluster: the address at which other daemons reach it.
     pub(crate) own: InstanceId,
-    /// Drawn at the start of the process.
+    /// A random number that identifies this start of the process.
     pub(crate) boot: u64,
     pub(crate) mesh: Rc<PeerMesh>,
     pub(crate) roster: RefCell<DaemonRoster>,
-    /// Since when what was sent to daemons whose links are down may be lost.
+    /// For each daemon whose link is down, the time since which messages to it may have been lost.
     pub(crate) links_lost: RefCell<HashMap<InstanceId, MonotonicTime>>,
-    /// Changes of links and daemons that no line has told yet.
+    /// Changes of links and daemons that have not been logged yet.
     pub(crate) peer_changes: RefCell<PeerChanges>,
-    /// What this daemon said of itself last.
+    /// The status that this daemon announced last.
     pub(crate) last_note: RefCell<Option<DaemonNote>>,
-    /// The edition of what it greeted the others with last.
+    /// The edition of the status in the last greeting to other daemons.
     pub(crate) greeted_edition: Cell<u32>,
     pub(crate) replica: RefCell<Option<ReplicaDriver>>,
     pub(crate) tier: RefCell<TierState>,
@@ -82,27 +82,27 @@
     pub(crate) home: RefCell<HomeState>,
     pub(crate) quarantine: RefCell<QuarantineState>,
     pub(crate) lifecycle: watch::Sender<Lifecycle>,
-    /// When this daemon was asked to end.
+    /// When this daemon was asked to shut down.
     pub(crate) draining_since: Cell<Option<MonotonicTime>>,
     pub(crate) was_ready: Cell<bool>,
-    /// The time in suspension that is noticed.
+    /// The total time of suspension that has been recorded.
     pub(crate) suspended: Cell<Duration>,
     pub(crate) active_requests: Cell<u64>,
     pub(crate) buffered_bytes: Cell<usize>,
-    calls: RefCell<HashMap<u64, oneshot::Sender<PeerReply>>>,
-    /// How many links to each daemon there have been.
-    links_made: RefCell<HashMap<InstanceId, u64>>,
+    pending_calls: RefCell<HashMap<u64, oneshot::Sender<PeerReply>>>,
+    /// The number of links to each daemon that have come up so far.
+    link_counts: RefCell<HashMap<InstanceId, u64>>,
     link_up: Notify,
     next_number: Cell<u64>,
 }
 
 impl Gateway {
-    /// Creates a gateway that does nothing yet.
+    /// Creates a gateway without starting its tasks.
     pub(crate) fn new(settings: GatewaySettings, dialect: WireDialect, log: EventLog) -> Rc<Self> {
         Self::with_clock(settings, dialect, log, ProcessClock::start())
     }
 
-    /// Creates a gateway that goes by a clock.
+    /// Creates a gateway that uses the given clock.
     pub(crate) fn with_clock(
         settings: GatewaySettings,
         dialect: WireDialect,
@@ -110,8 +110,10 @@
         clock: ProcessClock,
     ) -> Rc<Self> {
         let peers = settings.listen.peers;
-        let own: InstanceId =
-            peers.to_string().parse().expect("an address is made of an id's characters");
+        let own: InstanceId = peers
+            .to_string()
+            .parse()
+            .expect("an address consists of characters that an id may have");
         Rc::new(Self {
             settings: RefCell::new(Rc::new(settings)),
             dialect,
@@ -147,8 +149,8 @@
             suspended: Cell::new(Duration::ZERO),
             active_requests: Cell::new(0),
             buffered_bytes: Cell::new(0),
-            calls: RefCell::default(),
-            links_made: RefCell::default(),
+            pending_calls: RefCell::default(),
+            link_counts: RefCell::default(),
             link_up: Notify::new(),
             next_number: Cell::new(1),
         })
@@ -171,7 +173,7 @@
         self.log.line(kind)
     }
 
-    /// Returns a number that this process has not used yet.
+    /// Returns the next number of a sequence that is unique within this process.
     pub(crate) fn next_number(&self) -> u64 {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
@@ -187,72 +189,74 @@
         }
     }
 
-    /// Asks another daemon and waits for its answer.
+    /// Sends a request to another daemon and waits for its answer, for at most `max_wait`.
+    ///
+    /// `request` builds the message from the token that the answer repeats.
     pub(crate) async fn call(
         &self,
         to: &InstanceId,
-        patience: Duration,
-        question: impl FnOnce(u64) -> PeerMessage,
+        max_wait: Duration,
+        request: impl FnOnce(u64) -> PeerMessage,
     ) -> Option<PeerReply> {
         let token = self.next_number();
         let (reply, answer) = oneshot::channel();
-        self.calls.borrow_mut().insert(token, reply);
-        let question = question(token);
-        let answer = timeout(patience, self.ask_again_on_new_link(to, &question, answer)).await;
-        self.calls.borrow_mut().remove(&token);
+        self.pending_calls.borrow_mut().insert(token, reply);
+        let request = request(token);
+        let answer = timeout(max_wait, self.send_on_each_link(to, &request, answer)).await;
+        self.pending_calls.borrow_mut().remove(&token);
         answer.ok()?
     }
 
-    /// Asks, and asks once more on each new link: the question, or its answer, may have been lost
-    /// with the one before.
-    async fn ask_again_on_new_link(
+    /// Sends a request, and sends it again on each new link until the answer arrives: the request or
+    /// its answer may have been lost with the previous link.
+    async fn send_on_each_link(
         &self,
         to: &InstanceId,
-        question: &PeerMessage,
+        request: &PeerMessage,
         mut answer: oneshot::Receiver<PeerReply>,
     ) -> Option<PeerReply> {
-        let mut links = self.links_made(to);
-        self.mesh.send(to, question);
+        let mut previous_count = self.link_count(to);
+        self.mesh.send(to, request);
         loop {
             let link_up = self.link_up.notified();
             tokio::select! {
                 answer = &mut answer => return answer.ok(),
                 () = link_up => {}
             }
-            let made = self.links_made(to);
-            // The first link of all carries what waited for it.
-            if links > 0 && made > links {
-                self.mesh.send(to, question);
+            let count = self.link_count(to);
+            // The mesh queues messages until the first link is up and sends them on it.
+            if previous_count > 0 && count > previous_count {
+                self.mesh.send(to, request);
             }
-            links = made;
+            previous_count = count;
         }
     }
 
-    fn links_made(&self, to: &InstanceId) -> u64 {
-        self.links_made.borrow().get(to).copied().unwrap_or(0)
+    fn link_count(&self, to: &InstanceId) -> u64 {
+        self.link_counts.borrow().get(to).copied().unwrap_or(0)
     }
 
-    /// Forgets what is known of the links to a daemon.
+    /// Removes the state of the links to a daemon.
     pub(crate) fn forget_links(&self, to: &InstanceId) {
         self.mesh.forget(to);
         self.links_lost.borrow_mut().remove(to);
-        self.links_made.borrow_mut().remove(to);
+        self.link_counts.borrow_mut().remove(to);
     }
 
-    /// Notes that a new link to a daemon is up.
+    /// Records that a new link to a daemon is up.
     pub(crate) fn record_link_up(&self, to: &InstanceId) {
-        *self.links_made.borrow_mut().entry(to.clone()).or_default() += 1;
+        *self.link_counts.borrow_mut().entry(to.clone()).or_default() += 1;
         self.link_up.notify_waiters();
     }
 
-    /// Hands an answer to whoever waits for it, if somebody still does.
+    /// Passes an answer to the call that waits for it, if that has not timed out.
     pub(crate) fn answer_call(&self, token: u64, reply: PeerReply) {
-        if let Some(waiter) = self.calls.borrow_mut().remove(&token) {
+        if let Some(waiter) = self.pending_calls.borrow_mut().remove(&token) {
             let _ = waiter.send(reply);
         }
     }
 
-    /// Returns whether this daemon leads the log, as far as it knows.
+    /// Returns whether this daemon is the leader of the log, as far as it knows.
     pub(crate) fn is_leader(&self) -> bool {
         self.leader.borrow().as_ref().is_some_and(|(_, leader)| *leader == self.own)
     }
--- a/crates/gateway/src/home.rs
+++ b/crates/gateway/src/home.rs
@@ -1,10 +1,11 @@
-//! Where prompts go: asking the home of the engines, being it, and doing without it.
+//! Placement of prompts on engines: by the home, by a deputy, or by the entry alone.
 //!
-//! The leader of the log is the home of all engines: it alone places prompts, so that its view
-//! of what each engine has to do is whole. While it does not answer in time, deputies place, each
-//! on a part of the engines. An entry that cannot reach its deputy either places by itself, on what
-//! it knows, which is its own prompts only, and among engines drawn by chance. Whoever begins to
-//! place is told by every entry which prompts it has under way.
+//! An entry is the daemon that received a prompt from its caller. The leader of the log is the home of
+//! all engines: it alone places prompts, so that it knows the full load of each engine. While the home
+//! does not answer in time, deputies place prompts, each on a part of the engines, which is its cell.
+//! An entry that cannot reach its deputy either places its prompts itself. It then knows only its own
+//! prompts, and chooses among randomly drawn engines. Each entry sends its running prompts to a daemon
+//! that begins to place prompts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -23,39 +24,41 @@
 use crate::hubs::Tier;
 use crate::peers::{PeerMessage, PlaceVerdict, PlacedPrompt, ProgressNote};
 
-/// How long the home has to place a prompt: far above a hop between data centres and a decision,
-/// far below the shortest objective.
+/// The time-out of a call to the home. It is far longer than a hop between data centres and a
+/// placement, and far shorter than the shortest objective.
 pub(crate) const HOME_ANSWER_TIMEOUT: Duration = Duration::from_millis(90);
 
-/// How long a deputy has: the prompt may have waited for the home before.
-const DEPUTY_PATIENCE: Duration = Duration::from_millis(60);
+/// The time-out of a call to a deputy. It is shorter than that of the home, because the prompt may have
+/// waited for the home before.
+const DEPUTY_ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// An engine that has been silent for this many heartbeats gets no new work, unless its answers
-/// show that it lives.
-const SILENT_HEARTBEATS: u32 = 3;
+/// An engine that has been silent for this many heartbeat intervals gets no new work, unless a recent
+/// good answer shows that it is alive.
+const MAX_MISSED_HEARTBEATS: u32 = 3;
 
-/// How long a good answer shows that an engine lives.
-const GOOD_ANSWER_COUNTS: Duration = Duration::from_secs(2);
+/// How long an engine counts as alive after a good answer.
+const GOOD_ANSWER_TTL: Duration = Duration::from_secs(2);
 
-/// The share of a cold engine's request limit that one placer may use. Within one second, the home,
-/// a deputy that replaces it and the next home may all place prompts on the same engine.
+/// The share of a cold engine's request limit that one placing daemon may use. Within one second, the
+/// home, a deputy that replaces it and the next home may all place prompts on the same engine.
 const COLD_LIMIT_SHARE: f64 = 1.0 / 3.0;
 
-/// Returns how many prompts a second one placer may send to a cold engine, at least 1.
+/// Returns the number of prompts per second that one placing daemon may send to a cold engine, at
+/// least 1.
 fn max_cold_prompts_per_s(cold_start: &ColdStart) -> u32 {
     (cold_start.max_requests_per_s * COLD_LIMIT_SHARE).max(1.0) as u32
 }
 
-/// Who placed a prompt.
+/// The daemon that placed a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PlacedBy {
     /// This daemon, as the home.
     Home,
-    /// The home, on another daemon.
+    /// Another daemon, as the home.
     RemoteHome,
-    /// A deputy, because the home did not answer.
+    /// A deputy, because the home did not answer in time.
     Deputy,
-    /// This daemon, because neither did.
+    /// This daemon, because neither the home nor the deputy answered in time.
     Alone,
 }
 
@@ -70,32 +73,33 @@
     }
 }
 
-/// What this daemon knows of engines and of the prompts on them.
+/// The state of engines and of the prompts on them, as far as this daemon knows it.
 #[derive(Debug, Default)]
 pub(crate) struct HomeState {
     fleet: EngineFleet,
-    /// What the engines in the fleet were last taken from.
-    taken_from: Option<(u64, Option<RoutingRevision>, MonotonicTime)>,
-    /// The prompts of callers here.
-    own: BTreeMap<PromptKey, PlacedPrompt>,
-    last_good: BTreeMap<EndpointStart, MonotonicTime>,
-    /// Endpoints that sent a heartbeat to this daemon lately.
+    /// The registry generation, the document revision and the time of the last refresh of the fleet.
+    fleet_source: Option<(u64, Option<RoutingRevision>, MonotonicTime)>,
+    /// The running prompts of this daemon's callers.
+    own_prompts: BTreeMap<PromptKey, PlacedPrompt>,
+    /// When each engine last gave a good answer.
+    last_good_answer: BTreeMap<EndpointStart, MonotonicTime>,
+    /// Endpoints that recently sent a heartbeat to this daemon directly.
     pub(crate) direct_beats: BTreeSet<EndpointStart>,
     pub(crate) watch: HomeWatch,
 }
 
-/// How long the engines' liveness may be out of date in the fleet.
-const REFRESH_AFTER: Duration = Duration::from_millis(200);
+/// The maximum age of the engines' liveness in the fleet.
+const FLEET_REFRESH_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Gateway {
-    /// Places a prompt of a caller here.
+    /// Places a prompt of one of this daemon's callers.
     pub(crate) async fn place_prompt(
         &self,
         request: &str,
         ask: &PromptAsk,
     ) -> (Result<PromptPlan, SpareLack>, PlacedBy) {
         if self.is_leader() {
-            return (self.place_own(ask, EngineScope::All), PlacedBy::Home);
+            return (self.place_and_record(ask, EngineScope::All), PlacedBy::Home);
         }
         if !self.home.borrow().watch.is_away() {
             if let Some(leader) = self.leader_instance() {
@@ -110,7 +114,7 @@
         }
         let placed = self.place_without_home(request, ask).await;
         if let Ok(plan) = &placed.0 {
-            self.correct_home(ask, plan);
+            self.report_placement_to_home(ask, plan);
         }
         placed
     }
@@ -118,54 +122,54 @@
     async fn place_without_home(&self, request: &str, ask: &PromptAsk) -> (PlaceVerdict, PlacedBy) {
         if let Some((deputy, cell)) = deputy_for(&self.deputies(), ask.key) {
             if deputy == self.own {
-                return (self.place_own(ask, EngineScope::Cell(cell)), PlacedBy::Deputy);
+                return (self.place_and_record(ask, EngineScope::Cell(cell)), PlacedBy::Deputy);
             }
-            let verdict = self.ask_to_place(&deputy, DEPUTY_PATIENCE, ask, Some(cell)).await;
+            let verdict = self.ask_to_place(&deputy, DEPUTY_ANSWER_TIMEOUT, ask, Some(cell)).await;
             if let Some(verdict) = verdict {
                 return (verdict, PlacedBy::Deputy);
             }
             self.line(EventKind::HomeLost).text("request", request).text("deputy", deputy);
         }
-        (self.place_own(ask, EngineScope::Drawn(rand::random())), PlacedBy::Alone)
+        (self.place_and_record(ask, EngineScope::Drawn(rand::random())), PlacedBy::Alone)
     }
 
-    /// Tells the home where a prompt went without it: it may be merely slow, have placed the prompt as
-    /// well, and take engines for busy that are not.
-    fn correct_home(&self, ask: &PromptAsk, plan: &PromptPlan) {
+    /// Reports a placement by another daemon to the home. The home may be slow only and have placed the
+    /// prompt as well, and would then count engines as busy that are not.
+    fn report_placement_to_home(&self, ask: &PromptAsk, plan: &PromptPlan) {
         if let Some(leader) = self.leader_instance() {
             let placed = PlacedPrompt { ask: ask.clone(), plan: plan.clone(), has_begun: false };
             self.mesh.send(&leader, &PeerMessage::Placed(vec![placed]));
         }
     }
 
-    /// Asks another daemon to place a prompt; none where it does not answer in time.
+    /// Asks another daemon to place a prompt. Returns `None` if it does not answer in time.
     async fn ask_to_place(
         &self,
         home: &InstanceId,
-        patience: Duration,
+        max_wait: Duration,
         ask: &PromptAsk,
         cell: Option<EngineCell>,
     ) -> Option<PlaceVerdict> {
-        let question = |token| PeerMessage::PlaceAsk { token, ask: ask.clone(), cell };
-        let reply = self.call(home, patience, question).await;
+        let request = |token| PeerMessage::PlaceAsk { token, ask: ask.clone(), cell };
+        let reply = self.call(home, max_wait, request).await;
         let Some(PeerReply::Placed(verdict)) = reply else { return None };
         if let Ok(plan) = &verdict {
             self.refresh_fleet();
             self.home.borrow_mut().fleet.adopt(self.now(), ask, plan, false);
-            self.keep_own(ask, plan);
+            self.record_own(ask, plan);
         }
         Some(verdict)
     }
 
-    fn place_own(&self, ask: &PromptAsk, scope: EngineScope) -> PlaceVerdict {
+    fn place_and_record(&self, ask: &PromptAsk, scope: EngineScope) -> PlaceVerdict {
         let verdict = self.place_here(ask, scope);
         if let Ok(plan) = &verdict {
-            self.keep_own(ask, plan);
+            self.record_own(ask, plan);
         }
         verdict
     }
 
-    /// Returns who places while the home is away, this daemon among them if it takes callers.
+    /// Returns the deputies, which place prompts while the home is away. This daemon can be one of them.
     fn deputies(&self) -> Vec<InstanceId> {
         if self.tier() == Tier::Leaf {
             return self.deputies_from_hub();
@@ -178,25 +182,25 @@
         deputies(alive, home.as_ref(), engines)
     }
 
-    /// Notes that the home did not answer in time, and tells its deputies what runs.
+    /// Records that the home did not answer in time, and sends the running prompts to its deputies.
     pub(crate) fn on_home_timeout(&self) {
         let deputies = self.deputies();
-        let news = self.home.borrow_mut().watch.missed(self.now(), deputies);
-        for deputy in news.iter().filter(|deputy| **deputy != self.own) {
-            self.tell_own_prompts(deputy);
+        let new_deputies = self.home.borrow_mut().watch.missed(self.now(), deputies);
+        for deputy in new_deputies.iter().filter(|deputy| **deputy != self.own) {
+            self.send_own_prompts(deputy);
         }
     }
 
-    /// Notes that the home answers in time; where it did not before, it is told what runs.
+    /// Records that the home answered in time. If the home was away before, sends it the running prompts.
     pub(crate) fn on_home_answer(&self) {
         if self.home.borrow_mut().watch.answered() {
             self.on_new_home();
         }
     }
 
-    fn keep_own(&self, ask: &PromptAsk, plan: &PromptPlan) {
+    fn record_own(&self, ask: &PromptAsk, plan: &PromptPlan) {
         let placed = PlacedPrompt { ask: ask.clone(), plan: plan.clone(), has_begun: false };
-        self.home.borrow_mut().own.insert(ask.key, placed);
+        self.home.borrow_mut().own_prompts.insert(ask.key, placed);
     }
 
     fn place_here(&self, ask: &PromptAsk, scope: EngineScope) -> PlaceVerdict {
@@ -219,8 +223,8 @@
         self.home.borrow_mut().fleet.explains_silence(self.now(), endpoint, silence)
     }
 
-    /// Asks the home whether an engine is silent because it reads. Without an answer it is taken
-    /// to: moving a prompt for nothing costs another reading of it.
+    /// Asks the home whether an engine is silent because it reads prompts. Without an answer this is
+    /// assumed: moving a prompt without need means that another engine has to read it again.
     pub(crate) async fn silence_is_expected(
         &self,
         endpoint: &EndpointStart,
@@ -239,25 +243,29 @@
         !matches!(reply, Some(PeerReply::SilenceExpected(false)))
     }
 
-    /// Tells the home, and notes here, what became of a prompt.
+    /// Records the progress of a prompt, and reports it to the home and the informed deputies.
     pub(crate) fn report_progress(&self, note: ProgressNote) {
         self.on_progress(std::slice::from_ref(&note));
         match &note {
             ProgressNote::Begun(key) => {
-                if let Some(placed) = self.home.borrow_mut().own.get_mut(key) {
+                if let Some(placed) = self.home.borrow_mut().own_prompts.get_mut(key) {
                     placed.has_begun = true;
                 }
             }
             ProgressNote::Ended(key) => {
-                self.home.borrow_mut().own.remove(key);
+                self.home.borrow_mut().own_prompts.remove(key);
             }
             ProgressNote::Failed(_) => {}
         }
         let leader = self.leader_instance().filter(|leader| *leader != self.own);
         let to: Vec<InstanceId> = {
             let home = self.home.borrow();
-            let told = home.watch.told_now(self.now()).iter();
-            told.filter(|deputy| Some(*deputy) != leader.as_ref()).chain(&leader).cloned().collect()
+            let informed = home.watch.told_now(self.now()).iter();
+            informed
+                .filter(|deputy| Some(*deputy) != leader.as_ref())
+                .chain(&leader)
+                .cloned()
+                .collect()
         };
         self.mesh.send_all(&to, &PeerMessage::Progress(vec![note]));
     }
@@ -271,19 +279,19 @@
                     home.fleet.first_event(now, *key);
                     let used: Vec<EndpointStart> = home.fleet.engines_of(*key).to_vec();
                     for endpoint in used {
-                        home.last_good.insert(endpoint, now);
+                        home.last_good_answer.insert(endpoint, now);
                     }
                 }
                 ProgressNote::Ended(key) => home.fleet.ended(now, *key),
                 ProgressNote::Failed(endpoint) => {
-                    home.last_good.remove(endpoint);
+                    home.last_good_answer.remove(endpoint);
                     home.fleet.failed(now, endpoint);
                 }
             }
         }
     }
 
-    /// Takes over prompts that an earlier home placed.
+    /// Adds prompts that another daemon placed.
     pub(crate) fn on_placed(&self, prompts: Vec<PlacedPrompt>) {
         self.refresh_fleet();
         let now = self.now();
@@ -293,37 +301,37 @@
         }
     }
 
-    /// Tells a new home what runs.
+    /// Sends the running prompts to a new home.
     pub(crate) fn on_new_home(&self) {
         if let Some(leader) = self.leader_instance().filter(|leader| *leader != self.own) {
-            self.tell_own_prompts(&leader);
+            self.send_own_prompts(&leader);
         }
     }
 
-    fn tell_own_prompts(&self, home: &InstanceId) {
-        let prompts: Vec<PlacedPrompt> = self.home.borrow().own.values().cloned().collect();
+    fn send_own_prompts(&self, home: &InstanceId) {
+        let prompts: Vec<PlacedPrompt> = self.home.borrow().own_prompts.values().cloned().collect();
         if !prompts.is_empty() {
             self.mesh.send(home, &PeerMessage::Placed(prompts));
         }
     }
 
-    /// Takes the engines over from the announcements and the document in force, and forgets the
-    /// prompts of entries that are gone.
+    /// Updates the fleet from the endpoint registry and the document in force, and removes the prompts of
+    /// entries that are gone.
     fn refresh_fleet(&self) {
         let now = self.now();
         let registry = self.endpoints.borrow();
         let document = self.active_document();
         let revision = document.as_ref().map(|document| document.text.revision);
         let mut home = self.home.borrow_mut();
-        let is_current = home.taken_from.is_some_and(|(generation, taken, at)| {
+        let is_current = home.fleet_source.is_some_and(|(generation, fleet_revision, at)| {
             generation == registry.generation()
-                && taken == revision
-                && now.since(at) < REFRESH_AFTER
+                && fleet_revision == revision
+                && now.since(at) < FLEET_REFRESH_INTERVAL
         });
         if is_current {
             return;
         }
-        home.taken_from = Some((registry.generation(), revision, now));
+        home.fleet_source = Some((registry.generation(), revision, now));
         let Some(document) = document else { return };
         let profiles: BTreeMap<_, _> = document
             .table
@@ -334,17 +342,17 @@
             })
             .collect();
         let heartbeats_known_until = self.heartbeats_known_until();
-        let silent_after = self.settings().bounds.endpoint_heartbeat * SILENT_HEARTBEATS;
+        let silent_after = self.settings().bounds.endpoint_heartbeat * MAX_MISSED_HEARTBEATS;
         let facts = registry
             .all()
             .filter_map(|beat| {
                 let is_heard = registry
                     .silence(heartbeats_known_until, &beat.endpoint)
                     .is_some_and(|silence| silence < silent_after);
-                let is_good = home
-                    .last_good
+                let has_good_answer = home
+                    .last_good_answer
                     .get(&beat.endpoint)
-                    .is_some_and(|at| now.since(*at) < GOOD_ANSWER_COUNTS);
+                    .is_some_and(|at| now.since(*at) < GOOD_ANSWER_TTL);
                 let (profile, cold_start) = profiles.get(&beat.service)?;
                 let cold = cold_start.filter(|c| registry.is_cold(now, &beat.endpoint, c.span));
                 Some(EngineFacts {
@@ -352,22 +360,22 @@
                     endpoint: beat.endpoint.clone(),
                     service: beat.service.clone(),
                     takes_work: registry.takes_work(&beat.endpoint).is_some()
-                        && (is_heard || is_good),
+                        && (is_heard || has_good_answer),
                     profile: Arc::clone(profile),
                 })
             })
             .collect();
         let home = &mut *home;
         home.fleet.update(facts);
-        home.last_good.retain(|_, at| now.since(*at) < GOOD_ANSWER_COUNTS);
-        // A leaf acting as deputy has no full list of live entries.
+        home.last_good_answer.retain(|_, at| now.since(*at) < GOOD_ANSWER_TTL);
+        // A leaf that acts as a deputy does not have the full list of live entries.
         if self.tier() != Tier::Leaf {
             let boots = self.roster.borrow().alive_boots(now);
             home.fleet.forget_entries(now, |entry| entry != self.boot && !boots.contains(&entry));
         }
     }
 
-    /// Returns the name of a fresh prompt.
+    /// Returns the key of a new prompt.
     pub(crate) fn prompt_key(self: &Rc<Self>) -> PromptKey {
         PromptKey { entry: self.boot, number: self.next_number() }
     }
--- a/crates/gateway/tests/parts.rs
+++ b/crates/gateway/tests/parts.rs
@@ -1,4 +1,4 @@
-//! The parts that decide: events of streams, endpoints, the budget, the balancer, the log.
+//! Tests of the event splitter, the endpoint registry, the retry budget, the balancer and the event log.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -28,10 +28,14 @@
     }
 }
 
+// Guards against events that a caller gets twice or in part when a stream is resumed.
 #[test]
-fn only_whole_events_are_handed_out_and_each_once() {
+fn the_splitter_forwards_each_complete_event_once() {
     let mut splitter = EventSplitter::new(Some(1));
-    assert!(splitter.push(b"id: 1\ndata: a\n\nid: 2\nda").is_empty(), "the caller has event 1");
+    assert!(
+        splitter.push(b"id: 1\ndata: a\n\nid: 2\nda").is_empty(),
+        "the caller has received event 1"
+    );
     assert!(splitter.has_partial());
     assert_eq!(&splitter.push(b"ta: b\n\n")[..], b"id: 2\ndata: b\n\n");
     assert_eq!(splitter.last_id(), Some(2));
@@ -41,7 +45,7 @@
 }
 
 #[test]
-fn events_split_at_any_byte_come_out_the_same() {
+fn the_splitter_gives_the_same_events_wherever_the_input_is_cut() {
     let text = b"id: 1\ndata: a\n\nweights: 2\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n";
     for cut in 0..text.len() {
         let mut splitter = EventSplitter::new(None);
@@ -51,22 +55,26 @@
     }
 }
 
+// Guards against a late heartbeat that reverts a newer one or adds an endpoint that has left.
 #[test]
-fn late_heartbeats_change_nothing() {
+fn late_heartbeats_are_ignored() {
     let mut registry = EndpointRegistry::default();
     let serving = |sequence| beat("i-1", 1, sequence, EndpointPhase::Serving);
     assert_eq!(registry.apply_heartbeat(at(10), serving(5), Duration::ZERO), BeatChange::Met);
     let draining = beat("i-1", 1, 6, EndpointPhase::Draining);
     assert_eq!(registry.apply_heartbeat(at(11), draining, Duration::ZERO), BeatChange::Changed);
     assert_eq!(registry.apply_heartbeat(at(12), serving(4), Duration::ZERO), BeatChange::Stale);
-    assert!(registry.takes_work(&"i-1".parse().unwrap()).is_none(), "it drains");
+    assert!(
+        registry.takes_work(&"i-1".parse().unwrap()).is_none(),
+        "a draining endpoint takes no work"
+    );
     assert_eq!(registry.leave(&"i-1".parse().unwrap()), "i-1".parse().ok());
     assert_eq!(registry.apply_heartbeat(at(13), serving(9), Duration::ZERO), BeatChange::Stale);
-    assert_eq!(registry.all().count(), 0, "who has left stays away");
+    assert_eq!(registry.all().count(), 0, "an endpoint that has left is not added again");
 }
 
 #[test]
-fn an_address_that_is_used_again_ends_the_one_before() {
+fn a_new_endpoint_replaces_the_one_that_had_its_address() {
     let mut registry = EndpointRegistry::default();
     registry.apply_heartbeat(at(10), beat("i-old", 1, 1, EndpointPhase::Serving), Duration::ZERO);
     registry.apply_heartbeat(at(900), beat("i-new", 1, 1, EndpointPhase::Serving), Duration::ZERO);
@@ -76,8 +84,9 @@
     assert_eq!(registry.expire(at(20_000), Duration::from_secs(10)).len(), 1);
 }
 
+// Guards against two known starts of one endpoint: daemons receive heartbeats of both in any order.
 #[test]
-fn a_later_start_under_the_same_id_replaces_an_earlier_one_in_any_order() {
+fn a_later_start_of_an_endpoint_replaces_an_earlier_one_in_any_order() {
     let start = |time: u64, port, sequence| {
         beat(&format!("i-1@{time}"), port, sequence, EndpointPhase::Serving)
     };
@@ -95,12 +104,16 @@
         registry.apply_heartbeat(at(30), start(1_000, 1, 9), Duration::ZERO),
         BeatChange::Stale
     );
-    assert_eq!(registry.leave(&"i-1@1000".parse().unwrap()), None, "it is over already");
+    assert_eq!(
+        registry.leave(&"i-1@1000".parse().unwrap()),
+        None,
+        "an earlier start has already been replaced"
+    );
     assert_eq!(
         registry.apply_heartbeat(at(40), start(2_000, 2, 2), Duration::ZERO),
         BeatChange::Refreshed
     );
-    // The other order: the later one is met first.
+    // In the other order, the heartbeat of the later start arrives first.
     let mut registry = EndpointRegistry::default();
     registry.apply_heartbeat(at(10), start(2_000, 2, 1), Duration::ZERO);
     assert_eq!(
@@ -108,7 +121,8 @@
         BeatChange::Stale
     );
     assert_eq!(known(&registry), ["i-1@2000"]);
-    // After a farewell only a later start comes back; a farewell without a time means the latest.
+    // After an endpoint has left, only a later start is added. Leaving without a start time means the
+    // latest start.
     assert_eq!(registry.leave(&"i-1".parse().unwrap()), "i-1@2000".parse().ok());
     assert_eq!(
         registry.apply_heartbeat(at(30), start(2_000, 2, 9), Duration::ZERO),
@@ -125,8 +139,9 @@
     assert_eq!(known(&registry), ["i-1@3000"]);
 }
 
+// A heartbeat may arrive seconds late, after another endpoint has taken the address.
 #[test]
-fn a_late_heartbeat_does_not_take_an_address_back() {
+fn a_late_heartbeat_does_not_reclaim_an_address() {
     let mut registry = EndpointRegistry::default();
     registry.apply_heartbeat(
         at(10),
@@ -139,7 +154,7 @@
 }
 
 #[test]
-fn repeated_sends_stay_within_this_daemons_part_of_the_budget() {
+fn repeated_sends_stay_within_this_daemons_share_of_the_budget() {
     let mut budget = RetryBudget::default();
     let rule = BudgetRule { ratio: 0.2, slack: 100.0, window: Duration::from_secs(10) };
     let service: ServiceName = "portal".parse().unwrap();
@@ -148,11 +163,11 @@
     assert_eq!(granted, 21, "0.7 of a fifth of 100 requests and a tenth of the slack");
     assert!(!budget.take(at(5_000), &rule, 10, &service));
     let later = (0..20).filter(|n| budget.take(at(30_000 + n), &rule, 10, &service)).count();
-    assert_eq!(later, 7, "the old requests count no longer, nor do the old repeats");
+    assert_eq!(later, 7, "requests and repeated sends outside the window do not count");
 }
 
 #[test]
-fn a_failing_endpoint_is_avoided_and_comes_back() {
+fn an_endpoint_with_a_recent_fault_is_avoided_and_used_again_later() {
     let mut balancer = EndpointBalancer::default();
     let (bad, good) =
         (beat("i-bad", 1, 1, EndpointPhase::Serving), beat("i-good", 2, 1, EndpointPhase::Serving));
@@ -162,12 +177,16 @@
     balancer.begin(&good.endpoint);
     let chosen =
         |now, draw| balancer.choose(at(now), &own, &candidates, draw).unwrap().endpoint.clone();
-    assert!((0..10).all(|draw| chosen(10, draw) == good.endpoint), "busy goes before broken");
-    assert_eq!(chosen(30_000, 0), bad.endpoint, "an old fault counts no longer");
+    assert!(
+        (0..10).all(|draw| chosen(10, draw) == good.endpoint),
+        "a busy endpoint is preferred to a broken one"
+    );
+    assert_eq!(chosen(30_000, 0), bad.endpoint, "an old fault does not count");
 }
 
+// Guards against a log reader that blocks requests, or that loses lines without a count.
 #[test]
-fn a_log_whose_reader_has_stopped_drops_lines_and_counts_them() {
+fn a_log_with_a_blocked_reader_drops_and_counts_lines() {
     let (release, wait) = mpsc::channel::<()>();
     let (written, seen) = mpsc::channel();
     let log = EventLog::start("i-1", move |bytes| {
@@ -191,7 +210,7 @@
 }
 
 #[test]
-fn every_kind_of_line_is_on_the_operators_page() {
+fn the_operators_page_lists_every_event_kind() {
     let page = include_str!("../../../docs/OPERATIONS.md");
     for (name, meaning) in EventKind::ALL {
         let row = format!("| `{name}` |{meaning} |");
@@ -200,7 +219,7 @@
 }
 
 #[test]
-fn a_daemon_whose_link_was_lost_is_told_only_what_has_changed_since() {
+fn changed_notices_list_only_endpoints_that_changed_since() {
     let mut registry = EndpointRegistry::default();
     let serving =
         |endpoint: &str, port, sequence| beat(endpoint, port, sequence, EndpointPhase::Serving);
@@ -214,10 +233,10 @@
     let changed = registry.changed_notices(at(6_000), at(3_000));
     let names: Vec<String> =
         changed.iter().map(|notice| notice.beat.endpoint.to_string()).collect();
-    assert_eq!(names, ["i-2", "i-4"], "a heartbeat that changes nothing is no news");
+    assert_eq!(names, ["i-2", "i-4"], "a heartbeat that changes nothing is not listed");
     assert_eq!(registry.departed(9, at(3_000)), ["i-3".parse().unwrap()]);
     assert!(registry.departed(9, at(5_500)).is_empty());
-    assert_eq!(registry.changed_notices(at(6_000), MonotonicTime::ZERO).len(), 3, "all of them");
+    assert_eq!(registry.changed_notices(at(6_000), MonotonicTime::ZERO).len(), 3, "all endpoints");
 }
 
 #[test]
@@ -231,7 +250,7 @@
     let endpoint = cold(1, 0).endpoint;
     registry.apply_heartbeat(at(10_000), cold(1, 0), Duration::ZERO);
     assert!(!registry.is_cold(at(10_000), &endpoint, span));
-    // Relayed by another instance, 200 ms after the heartbeat.
+    // Another instance relays the heartbeat 200 ms later.
     assert_eq!(
         registry.apply_heartbeat(at(11_000), cold(2, 2_500), Duration::from_millis(200)),
         BeatChange::Changed
@@ -240,6 +259,7 @@
     assert!(!registry.is_cold(at(13_300), &endpoint, span));
 }
 
+// An endpoint may become cold while its data centre is drained.
 #[test]
 fn an_endpoint_of_a_restored_data_centre_counts_as_cold_until_its_next_heartbeat() {
     let span = Duration::from_secs(3);
@@ -262,7 +282,7 @@
 }
 
 #[test]
-fn hubs_grant_no_more_repeated_sends_than_a_window_allows() {
+fn all_hubs_together_grant_no_more_repeated_sends_than_a_window_allows() {
     let rule = BudgetRule { ratio: 0.2, slack: 1_040.0, window: Duration::from_secs(10) };
     let service: ServiceName = "portal".parse().unwrap();
     let mut hubs: Vec<RetryBudget> = (0..10).map(|_| RetryBudget::default()).collect();
@@ -279,14 +299,11 @@
 }
 
 #[test]
-fn a_part_of_the_fixed_number_below_one_send_allows_no_repeated_send() {
+fn a_share_of_the_slack_below_one_send_allows_no_repeated_send() {
     let rule = BudgetRule { ratio: 0.2, slack: 1_040.0, window: Duration::from_secs(10) };
     let service: ServiceName = "portal".parse().unwrap();
     let mut budget = RetryBudget::default();
     budget.count_request(at(0), &rule, &service);
-    assert!(
-        !budget.take(at(10), &rule, 994, &service),
-        "a part of the fixed number below one send"
-    );
+    assert!(!budget.take(at(10), &rule, 994, &service), "a share of the slack below one send");
     assert!(!budget.take_from_ratio(at(10), &rule, &service));
 }
