--- a/crates/gateway/src/cluster.rs
+++ b/crates/gateway/src/cluster.rs
@@ -340,7 +340,7 @@
     fn endpoint_updates_since(&self, since: MonotonicTime) -> Vec<PeerMessage> {
         let now = self.now();
         let endpoints = self.endpoints.borrow();
-        let leavers = endpoints.leavers(MAX_REPORTED_DEPARTURES, since);
+        let leavers = endpoints.departed(MAX_REPORTED_DEPARTURES, since);
         let notices = endpoints.changed_notices(now, since);
         let mut updates = Vec::new();
         if !leavers.is_empty() {
@@ -486,7 +486,7 @@
             gateway.line(EventKind::PeerLink).text("peer", to).text("outcome", "up");
         }
         let lost = gateway.links_lost.borrow_mut().remove(to);
-        gateway.note_link(to);
+        gateway.record_link_up(to);
         let mut messages = vec![PeerMessage::Greeting(gateway.note())];
         messages.extend(gateway.state_updates_for(to, lost));
         messages
--- a/crates/gateway/src/front/ends.rs
+++ b/crates/gateway/src/front/ends.rs
@@ -56,7 +56,7 @@
 ) {
     let result = probe(gateway, endpoint, address).await;
     if result == ProbeResult::Ended {
-        gateway.ended_under(request.digest(), endpoint);
+        gateway.record_endpoint_end(request.digest(), endpoint);
     }
     gateway.metrics.end_looks.with_label_values(&[result.name()]).inc();
     gateway
--- a/crates/gateway/src/front/sends.rs
+++ b/crates/gateway/src/front/sends.rs
@@ -155,7 +155,7 @@
                 gateway.endpoint_fault(&request.id, endpoint, FaultKind::Failure);
             }
             placement.record_begun();
-            gateway.answered_whole(|| request.digest());
+            gateway.record_complete_answer(|| request.digest());
             SendOutcome::Answer(Response::from_parts(
                 forwarded_head(gateway, parts),
                 body.to_bytes(),
--- a/crates/gateway/src/front/stream.rs
+++ b/crates/gateway/src/front/stream.rs
@@ -146,7 +146,7 @@
         self.guard.record_answer(self.history.sends());
         let (status, reason) = match &end {
             ForwardEnd::Complete => {
-                self.gateway.answered_whole(|| self.request.digest());
+                self.gateway.record_complete_answer(|| self.request.digest());
                 ("200", "whole")
             }
             // Dropping the guard records that the caller is gone.
--- a/crates/gateway/src/hubs.rs
+++ b/crates/gateway/src/hubs.rs
@@ -358,7 +358,7 @@
         let now = self.now();
         let (notices, left) = {
             let endpoints = self.endpoints.borrow();
-            (endpoints.all_notices(now), endpoints.leavers(TOLD_LEAVERS, MonotonicTime::ZERO))
+            (endpoints.all_notices(now), endpoints.departed(TOLD_LEAVERS, MonotonicTime::ZERO))
         };
         self.mesh.send(leaf, &PeerMessage::EndpointView { notices, left });
         for message in self.all_cases() {
@@ -460,9 +460,9 @@
         let heartbeat = self.settings().bounds.endpoint_heartbeat;
         self.endpoints.borrow_mut().update_heard(asked, &silent, heartbeat);
         if is_home_away {
-            self.home_missed();
+            self.on_home_timeout();
         } else {
-            self.home_answered();
+            self.on_home_answer();
         }
         if let Some((newest, age)) = proof {
             self.prove_newest(asked - age, newest);
--- a/crates/gateway/src/peers/mesh.rs
+++ b/crates/gateway/src/peers/mesh.rs
@@ -218,7 +218,7 @@
             let Ok(frame) = frames.try_recv() else { break };
             buffer.extend_from_slice(&frame);
         }
-        match timeout(net::SILENT_LINK, stream.write_all(&buffer)).await {
+        match timeout(net::TCP_USER_TIMEOUT, stream.write_all(&buffer)).await {
             Ok(Ok(())) if buffer.is_empty() => {}
             Ok(Ok(())) => {
                 buffer.clear();
@@ -258,7 +258,7 @@
             Ok((stream, _)) => {
                 let events = Rc::clone(&events);
                 spawn_local(async move {
-                    net::tune(&stream);
+                    net::set_stream_options(&stream);
                     // The daemon that opened the connection logs a failure and reconnects.
                     let _ = read_link(stream, &*events).await;
                 });
