--- a/crates/gateway/src/cluster.rs
+++ b/crates/gateway/src/cluster.rs
@@ -15,7 +15,7 @@
 
 use crate::events::EventKind;
 use crate::gateway::{Gateway, PeerReply};
-use crate::gossip::{is_sponsor, tells_hubs, tells_whom_it_knows};
+use crate::gossip::{is_sponsor, should_send_member_list, tells_hubs};
 use crate::hubs::Tier;
 use crate::lifecycle::Lifecycle;
 use crate::peer_changes::{ChangeCount, PeerChange, PeerChanges};
@@ -256,7 +256,8 @@
             let list = match hubs {
                 Some(hubs) => tells_hubs(hubs.len(), known, has_disk).then_some(hubs),
                 None => {
-                    let tells = tells_whom_it_knows(roster.known_count(), known, rand::random());
+                    let tells =
+                        should_send_member_list(roster.known_count(), known, rand::random());
                     tells.then(|| roster.known().cloned().collect::<Vec<InstanceId>>())
                 }
             };
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -40,7 +40,7 @@
 ///
 /// One that knows less than half of what is known here is new and is told at once. One that lacks
 /// a few is told by a few of those it greets, and again after its next greeting.
-pub(crate) fn tells_whom_it_knows(own_known: usize, their_known: usize, draw: f64) -> bool {
+pub(crate) fn should_send_member_list(own_known: usize, their_known: usize, draw: f64) -> bool {
     if their_known >= own_known {
         return false;
     }
--- a/crates/gateway/src/gossip_tests.rs
+++ b/crates/gateway/src/gossip_tests.rs
@@ -7,7 +7,7 @@
 use oriolepass_units::{DataCentreId, InstanceId, MonotonicTime};
 
 use crate::gossip::{
-    DocumentSpread, heartbeat_route, is_sponsor, relay_groups, tells_hubs, tells_whom_it_knows,
+    DocumentSpread, heartbeat_route, is_sponsor, relay_groups, should_send_member_list, tells_hubs,
 };
 
 fn instance(number: usize) -> InstanceId {
@@ -110,7 +110,7 @@
                 for to in greeted {
                     known[to].insert(own);
                     draw = (draw * 997.0 + 0.123_456_7).fract();
-                    if tells_whom_it_knows(known[to].len(), known[own].len(), draw) {
+                    if should_send_member_list(known[to].len(), known[own].len(), draw) {
                         lists += 1;
                         let told = known[to].clone();
                         known[own].extend(told);
