--- a/crates/gateway/src/cluster.rs
+++ b/crates/gateway/src/cluster.rs
@@ -15,7 +15,7 @@
 
 use crate::events::EventKind;
 use crate::gateway::{Gateway, PeerReply};
-use crate::gossip::{is_sponsor, should_send_member_list, tells_hubs};
+use crate::gossip::{is_sponsor, should_send_hub_list, should_send_member_list};
 use crate::hubs::Tier;
 use crate::lifecycle::Lifecycle;
 use crate::peer_changes::{ChangeCount, PeerChange, PeerChanges};
@@ -254,7 +254,7 @@
             let change = roster.take(now, note);
             let known = usize::try_from(known).unwrap_or(usize::MAX);
             let list = match hubs {
-                Some(hubs) => tells_hubs(hubs.len(), known, has_disk).then_some(hubs),
+                Some(hubs) => should_send_hub_list(hubs.len(), known, has_disk).then_some(hubs),
                 None => {
                     let tells =
                         should_send_member_list(roster.known_count(), known, rand::random());
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -50,7 +50,7 @@
 /// Returns whether to tell a daemon of the hubs, of which `hubs` are known here.
 ///
 /// A daemon without a disk counts all daemons that it knows, perhaps no hub among them, so it is always told.
-pub(crate) fn tells_hubs(hubs: usize, their_known: usize, has_disk: bool) -> bool {
+pub(crate) fn should_send_hub_list(hubs: usize, their_known: usize, has_disk: bool) -> bool {
     hubs > 0 && (!has_disk || their_known < hubs)
 }
 
--- a/crates/gateway/src/gossip_tests.rs
+++ b/crates/gateway/src/gossip_tests.rs
@@ -7,7 +7,8 @@
 use oriolepass_units::{DataCentreId, InstanceId, MonotonicTime};
 
 use crate::gossip::{
-    DocumentSpread, heartbeat_route, is_sponsor, relay_groups, should_send_member_list, tells_hubs,
+    DocumentSpread, heartbeat_route, is_sponsor, relay_groups, should_send_hub_list,
+    should_send_member_list,
 };
 
 fn instance(number: usize) -> InstanceId {
@@ -138,8 +139,8 @@
 
 #[test]
 fn a_daemon_that_knows_many_others_but_no_hub_is_told_of_the_hubs() {
-    assert!(tells_hubs(6, 12, false));
-    assert!(tells_hubs(6, 0, true), "a hub that has just started");
-    assert!(!tells_hubs(6, 6, true), "a hub that knows them all");
-    assert!(!tells_hubs(0, 0, false), "nothing to tell");
+    assert!(should_send_hub_list(6, 12, false));
+    assert!(should_send_hub_list(6, 0, true), "a hub that has just started");
+    assert!(!should_send_hub_list(6, 6, true), "a hub that knows them all");
+    assert!(!should_send_hub_list(0, 0, false), "nothing to tell");
 }
