--- a/crates/gateway/src/cluster.rs
+++ b/crates/gateway/src/cluster.rs
@@ -21,7 +21,7 @@
 use crate::peer_changes::{ChangeCount, PeerChange, PeerChanges};
 use crate::peers::{MeshEvents, PeerMessage, TrafficCount};
 use crate::replica::{Proposer, ReplicaDriver};
-use crate::roster::{DaemonNote, DaemonPhase, GREET_EVERY, ReplicaNote, RosterChange};
+use crate::roster::{DaemonNote, DaemonPhase, GREETING_INTERVAL, ReplicaNote, RosterChange};
 
 /// A silent daemon is greeted only once in this many rounds.
 const SILENT_GREETING_DIVISOR: u64 = 5;
@@ -54,7 +54,7 @@
                 self.log_traffic();
             }
             round += 1;
-            sleep(GREET_EVERY).await;
+            sleep(GREETING_INTERVAL).await;
         }
     }
 
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Between two greetings. Three may be lost before a daemon counts as silent.
-pub(crate) const GREET_EVERY: Duration = Duration::from_millis(600);
+pub(crate) const GREETING_INTERVAL: Duration = Duration::from_millis(600);
 
 /// A daemon that has not been heard for this long is not named to callers.
 pub(crate) const SILENT_AFTER: Duration = Duration::from_millis(2_200);
