--- a/crates/gateway/src/cluster.rs
+++ b/crates/gateway/src/cluster.rs
@@ -88,7 +88,7 @@
                 roster.expire(now, |daemon| seeds.contains(daemon) || voters.contains(daemon));
             let is_due = |daemon: &&InstanceId| {
                 round.is_multiple_of(SILENT_GREETING_DIVISOR)
-                    || roster.silence(now, daemon) < crate::roster::SILENT_AFTER
+                    || roster.silence(now, daemon) < crate::roster::SILENCE_TIMEOUT
                     || round < SILENT_GREETING_DIVISOR
             };
             let is_in_tier_scope = |daemon: &&InstanceId| match tier {
@@ -97,7 +97,7 @@
                     roster.is_hub(daemon)
                         || seeds.contains(daemon)
                         || voters.contains(daemon)
-                        || roster.silence(now, daemon) < crate::roster::SILENT_AFTER
+                        || roster.silence(now, daemon) < crate::roster::SILENCE_TIMEOUT
                 }
                 // With no hub known, any daemon may report one.
                 Tier::Leaf => attached.contains(daemon) || attached.is_empty(),
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -14,7 +14,7 @@
 pub(crate) const GREETING_INTERVAL: Duration = Duration::from_millis(600);
 
 /// A daemon that has not been heard for this long is not named to callers.
-pub(crate) const SILENT_AFTER: Duration = Duration::from_millis(2_200);
+pub(crate) const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_200);
 
 /// A daemon that has not been heard for this long is forgotten, unless it votes.
 const FORGOTTEN_AFTER: Duration = Duration::from_secs(90);
@@ -208,7 +208,7 @@
 
     /// Returns the daemons that this one hears, or that a hub heard here reports as attached.
     pub(crate) fn all_alive(&self, now: MonotonicTime) -> BTreeMap<&InstanceId, LeafNote> {
-        let is_heard = |hub: &InstanceId| self.silence(now, hub) <= SILENT_AFTER;
+        let is_heard = |hub: &InstanceId| self.silence(now, hub) <= SILENCE_TIMEOUT;
         let reported = self.attached_leaves.iter().filter(|(hub, _)| is_heard(hub));
         let mut alive: BTreeMap<&InstanceId, LeafNote> = reported
             .flat_map(|(_, leaves)| leaves.iter().map(|(leaf, note)| (leaf, note.clone())))
@@ -259,7 +259,7 @@
 
     /// Returns what those heard lately say of themselves.
     pub(crate) fn alive(&self, now: MonotonicTime) -> impl Iterator<Item = &DaemonNote> {
-        self.heard_within(now, SILENT_AFTER)
+        self.heard_within(now, SILENCE_TIMEOUT)
     }
 
     /// Returns what those heard within a span say of themselves.
