--- a/crates/gateway/src/announce.rs
+++ b/crates/gateway/src/announce.rs
@@ -214,7 +214,7 @@
     }
 
     /// Passes heartbeats on, and forgets endpoints that have been silent for long.
-    pub(crate) async fn keep_passing_on(self: Rc<Self>) {
+    pub(crate) async fn forward_heartbeats_periodically(self: Rc<Self>) {
         let mut round = 0_u64;
         loop {
             sleep(PASS_ON_EVERY).await;
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -97,7 +97,7 @@
     }
     spawn_local(Rc::clone(&gateway).send_greetings_periodically());
     spawn_local(Rc::clone(&gateway).refresh_proof_periodically());
-    spawn_local(Rc::clone(&gateway).keep_passing_on());
+    spawn_local(Rc::clone(&gateway).forward_heartbeats_periodically());
     spawn_local(Rc::clone(&gateway).keep_quarantine());
     spawn_local(serve_callers(Rc::clone(&gateway), callers));
     serve_operators(&gateway, listen_at.metrics);
