--- a/crates/gateway/src/hubs.rs
+++ b/crates/gateway/src/hubs.rs
@@ -381,7 +381,7 @@
     }
 
     /// Sends queued endpoint changes to the leaves in batches.
-    pub(crate) async fn keep_updating_leaves(self: Rc<Self>) {
+    pub(crate) async fn send_queued_leaf_changes(self: Rc<Self>) {
         loop {
             self.leaf_changes_queued.notified().await;
             sleep(LEAF_BATCH_DELAY).await;
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -92,7 +92,7 @@
         *gateway.replica.borrow_mut() = Some(replica);
         spawn_local(Rc::clone(&gateway).run_replica(to_loop));
         spawn_local(Rc::clone(&gateway).maintain_voters());
-        spawn_local(Rc::clone(&gateway).keep_updating_leaves());
+        spawn_local(Rc::clone(&gateway).send_queued_leaf_changes());
         spawn_local(Rc::clone(&gateway).keep_quarantine_on_disk(folder));
     }
     spawn_local(Rc::clone(&gateway).send_greetings_periodically());
