--- a/crates/gateway/src/documents.rs
+++ b/crates/gateway/src/documents.rs
@@ -18,7 +18,7 @@
 
 use crate::events::EventKind;
 use crate::gateway::{Gateway, PeerReply};
-use crate::gossip::{DocumentSpread, RelayGroup, relay_groups};
+use crate::gossip::{DocumentDissemination, RelayGroup, relay_groups};
 use crate::home::HOME_PATIENCE;
 use crate::hubs::Tier;
 use crate::peers::{DocumentVerdict, DrainVerdict, FreshVerdict, PeerMessage};
@@ -105,7 +105,7 @@
     /// The revisions that the other daemons have in force, as reported to the leader.
     in_force: BTreeMap<InstanceId, RoutingRevision>,
     /// The copies that this daemon has sent as the leader.
-    spread: DocumentSpread,
+    spread: DocumentDissemination,
 }
 
 impl DocumentState {
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -142,12 +142,12 @@
 
 /// What the leader has sent of documents, so that it sends nothing that is on its way already.
 #[derive(Debug, Default)]
-pub(crate) struct DocumentSpread {
+pub(crate) struct DocumentDissemination {
     spread: VecDeque<(RoutingRevision, MonotonicTime)>,
     copies: BTreeMap<InstanceId, MonotonicTime>,
 }
 
-impl DocumentSpread {
+impl DocumentDissemination {
     /// Notes that a document was handed to the relays.
     pub(crate) fn begin(&mut self, now: MonotonicTime, revision: RoutingRevision) {
         self.spread.push_back((revision, now));
--- a/crates/gateway/src/gossip_tests.rs
+++ b/crates/gateway/src/gossip_tests.rs
@@ -7,7 +7,7 @@
 use oriolepass_units::{DataCentreId, InstanceId, MonotonicTime};
 
 use crate::gossip::{
-    DocumentSpread, heartbeat_route, is_sponsor, relay_groups, should_send_hub_list,
+    DocumentDissemination, heartbeat_route, is_sponsor, relay_groups, should_send_hub_list,
     should_send_member_list,
 };
 
@@ -56,7 +56,7 @@
 
 #[test]
 fn a_daemon_whose_relay_is_lost_gets_its_copy_in_a_storm_of_documents() {
-    let mut spread = DocumentSpread::default();
+    let mut spread = DocumentDissemination::default();
     let held = Some(RoutingRevision(10));
     let mut copies = Vec::new();
     for step in 0..40 {
@@ -73,7 +73,7 @@
 
 #[test]
 fn a_daemon_that_lacks_an_old_document_gets_it_at_once() {
-    let mut spread = DocumentSpread::default();
+    let mut spread = DocumentDissemination::default();
     assert!(spread.needs_copy(at(5), &instance(1), None), "nothing was spread by this leader");
     spread.begin(at(1_000), RoutingRevision(3));
     assert!(!spread.needs_copy(at(1_100), &instance(2), Some(RoutingRevision(2))));
