--- a/crates/gateway/src/cluster.rs
+++ b/crates/gateway/src/cluster.rs
@@ -124,7 +124,7 @@
         let is_dependency =
             self.leader_instance().as_ref() == Some(peer) || self.own_voters().contains(peer);
         let known = self.roster.borrow().known_count();
-        let is_counted = !is_dependency && PeerChanges::are_counted(known);
+        let is_counted = !is_dependency && PeerChanges::are_aggregated(known);
         if is_counted {
             self.peer_changes.borrow_mut().note(change, peer);
         }
--- a/crates/gateway/src/peer_changes.rs
+++ b/crates/gateway/src/peer_changes.rs
@@ -55,7 +55,7 @@
 
 impl PeerChanges {
     /// Returns whether changes are counted among so many daemons.
-    pub(crate) fn are_counted(known: usize) -> bool {
+    pub(crate) fn are_aggregated(known: usize) -> bool {
         known >= COUNTED_FROM
     }
 
--- a/crates/gateway/src/peer_changes_tests.rs
+++ b/crates/gateway/src/peer_changes_tests.rs
@@ -22,6 +22,6 @@
 
 #[test]
 fn a_small_system_has_a_line_for_each_change() {
-    assert!(!PeerChanges::are_counted(9));
-    assert!(PeerChanges::are_counted(199));
+    assert!(!PeerChanges::are_aggregated(9));
+    assert!(PeerChanges::are_aggregated(199));
 }
