--- a/crates/gateway/src/cluster.rs
+++ b/crates/gateway/src/cluster.rs
@@ -402,7 +402,8 @@
             PeerMessage::Greeting(note) => gateway.on_greeting(from, note),
             PeerMessage::Present { boot, edition } => {
                 let now = gateway.now();
-                let is_known = gateway.roster.borrow_mut().is_present(now, from, boot, edition);
+                let is_known =
+                    gateway.roster.borrow_mut().record_presence(now, from, boot, edition);
                 if !is_known {
                     gateway.mesh.send(from, &PeerMessage::GreetingAsk);
                 }
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -143,7 +143,7 @@
     /// Notes that a daemon is alive and says what it said before; returns whether that is known
     /// here. News that was lost on its way does not count: the daemon then looks silent until it
     /// says everything again.
-    pub(crate) fn is_present(
+    pub(crate) fn record_presence(
         &mut self,
         now: MonotonicTime,
         instance: &InstanceId,
