--- a/crates/gateway/src/documents.rs
+++ b/crates/gateway/src/documents.rs
@@ -503,7 +503,7 @@
                     documents.in_force.get(instance).is_some_and(|held| *held >= revision)
                 };
                 let roster = self.roster.borrow();
-                let near = roster.heard_within(self.now(), CONFIRMATION_MAX_SILENCE);
+                let near = roster.alive_within(self.now(), CONFIRMATION_MAX_SILENCE);
                 let mut confirming = near.filter(|note| !is_hub || note.has_disk);
                 confirming.all(|note| has(&note.instance))
             };
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -259,11 +259,11 @@
 
     /// Returns what those heard lately say of themselves.
     pub(crate) fn alive(&self, now: MonotonicTime) -> impl Iterator<Item = &DaemonNote> {
-        self.heard_within(now, SILENCE_TIMEOUT)
+        self.alive_within(now, SILENCE_TIMEOUT)
     }
 
     /// Returns what those heard within a span say of themselves.
-    pub(crate) fn heard_within(
+    pub(crate) fn alive_within(
         &self,
         now: MonotonicTime,
         span: Duration,
