--- a/crates/gateway/src/deputies.rs
+++ b/crates/gateway/src/deputies.rs
@@ -81,7 +81,7 @@
         deputies: Vec<InstanceId>,
     ) -> Vec<InstanceId> {
         self.is_away = true;
-        let before = self.told_now(now).to_vec();
+        let before = self.notified_deputies(now).to_vec();
         let news = deputies.iter().filter(|deputy| !before.contains(deputy)).cloned().collect();
         let mut told = before;
         told.extend(
@@ -97,7 +97,7 @@
     }
 
     /// Returns the deputies that have to be told what becomes of prompts.
-    pub(crate) fn told_now(&self, now: MonotonicTime) -> &[InstanceId] {
+    pub(crate) fn notified_deputies(&self, now: MonotonicTime) -> &[InstanceId] {
         match &self.told {
             Some((at, told)) if now.since(*at) < TOLD_FOR => told,
             _ => &[],
--- a/crates/gateway/src/deputies_tests.rs
+++ b/crates/gateway/src/deputies_tests.rs
@@ -91,7 +91,7 @@
     assert_eq!(watch.missed(at(100), names(&[2, 3])), names(&[3]), "one deputy has changed");
     assert!(watch.is_away());
     assert!(watch.answered() && !watch.is_away() && !watch.answered());
-    let told: BTreeSet<InstanceId> = watch.told_now(at(20_000)).iter().cloned().collect();
+    let told: BTreeSet<InstanceId> = watch.notified_deputies(at(20_000)).iter().cloned().collect();
     assert_eq!(told, names(&[1, 2, 3]).into_iter().collect());
-    assert!(watch.told_now(at(31_000)).is_empty());
+    assert!(watch.notified_deputies(at(31_000)).is_empty());
 }
--- a/crates/gateway/src/home.rs
+++ b/crates/gateway/src/home.rs
@@ -254,7 +254,7 @@
         let leader = self.leader_instance().filter(|leader| *leader != self.own);
         let to: Vec<InstanceId> = {
             let home = self.home.borrow();
-            let told = home.watch.told_now(self.now()).iter();
+            let told = home.watch.notified_deputies(self.now()).iter();
             told.filter(|deputy| Some(*deputy) != leader.as_ref()).chain(&leader).cloned().collect()
         };
         self.mesh.send_all(&to, &PeerMessage::Progress(vec![note]));
