--- a/crates/gateway/src/deputies.rs
+++ b/crates/gateway/src/deputies.rs
@@ -75,7 +75,7 @@
 
     /// Notes that the home did not answer in time; returns the deputies that have not been told
     /// yet what runs.
-    pub(crate) fn missed(
+    pub(crate) fn record_timeout(
         &mut self,
         now: MonotonicTime,
         deputies: Vec<InstanceId>,
--- a/crates/gateway/src/deputies_tests.rs
+++ b/crates/gateway/src/deputies_tests.rs
@@ -87,8 +87,12 @@
     };
     let mut watch = HomeWatch::default();
     assert!(!watch.is_away());
-    assert_eq!(watch.missed(at(0), names(&[1, 2])), names(&[1, 2]));
-    assert_eq!(watch.missed(at(100), names(&[2, 3])), names(&[3]), "one deputy has changed");
+    assert_eq!(watch.record_timeout(at(0), names(&[1, 2])), names(&[1, 2]));
+    assert_eq!(
+        watch.record_timeout(at(100), names(&[2, 3])),
+        names(&[3]),
+        "one deputy has changed"
+    );
     assert!(watch.is_away());
     assert!(watch.answered() && !watch.is_away() && !watch.answered());
     let told: BTreeSet<InstanceId> = watch.notified_deputies(at(20_000)).iter().cloned().collect();
--- a/crates/gateway/src/home.rs
+++ b/crates/gateway/src/home.rs
@@ -179,7 +179,7 @@
     /// Notes that the home did not answer in time, and tells its deputies what runs.
     pub(crate) fn home_missed(&self) {
         let deputies = self.deputies();
-        let news = self.home.borrow_mut().watch.missed(self.now(), deputies);
+        let news = self.home.borrow_mut().watch.record_timeout(self.now(), deputies);
         for deputy in news.iter().filter(|deputy| **deputy != self.own) {
             self.tell_own_prompts(deputy);
         }
