--- a/crates/gateway/src/cluster.rs
+++ b/crates/gateway/src/cluster.rs
@@ -382,7 +382,7 @@
         self.metrics.is_leader.set(i64::from(self.is_leader()));
         self.leader_changed.notify_waiters();
         if next.is_some() {
-            self.home.borrow_mut().watch.answered();
+            self.home.borrow_mut().watch.record_answer();
         }
         self.on_new_home();
     }
--- a/crates/gateway/src/deputies.rs
+++ b/crates/gateway/src/deputies.rs
@@ -92,7 +92,7 @@
     }
 
     /// Notes that the home answers; returns whether it did not before.
-    pub(crate) fn answered(&mut self) -> bool {
+    pub(crate) fn record_answer(&mut self) -> bool {
         std::mem::take(&mut self.is_away)
     }
 
--- a/crates/gateway/src/deputies_tests.rs
+++ b/crates/gateway/src/deputies_tests.rs
@@ -94,7 +94,7 @@
         "one deputy has changed"
     );
     assert!(watch.is_away());
-    assert!(watch.answered() && !watch.is_away() && !watch.answered());
+    assert!(watch.record_answer() && !watch.is_away() && !watch.record_answer());
     let told: BTreeSet<InstanceId> = watch.notified_deputies(at(20_000)).iter().cloned().collect();
     assert_eq!(told, names(&[1, 2, 3]).into_iter().collect());
     assert!(watch.notified_deputies(at(31_000)).is_empty());
--- a/crates/gateway/src/home.rs
+++ b/crates/gateway/src/home.rs
@@ -187,7 +187,7 @@
 
     /// Notes that the home answers in time; where it did not before, it is told what runs.
     pub(crate) fn home_answered(&self) {
-        if self.home.borrow_mut().watch.answered() {
+        if self.home.borrow_mut().watch.record_answer() {
             self.on_new_home();
         }
     }
