--- a/crates/gateway/src/cluster.rs
+++ b/crates/gateway/src/cluster.rs
@@ -251,7 +251,7 @@
         let (change, more, is_new) = {
             let mut roster = self.roster.borrow_mut();
             let is_new = roster.get(from).is_none();
-            let change = roster.take(now, note);
+            let change = roster.update(now, note);
             let known = usize::try_from(known).unwrap_or(usize::MAX);
             let list = match hubs {
                 Some(hubs) => should_send_hub_list(hubs.len(), known, has_disk).then_some(hubs),
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -122,7 +122,7 @@
     }
 
     /// Takes in what a daemon says of itself.
-    pub(crate) fn take(&mut self, now: MonotonicTime, note: DaemonNote) -> RosterChange {
+    pub(crate) fn update(&mut self, now: MonotonicTime, note: DaemonNote) -> RosterChange {
         self.add(now, &note.instance);
         let Some(entry) = self.entries.get_mut(&note.instance) else {
             return RosterChange::Refreshed;
--- a/crates/gateway/src/roster_tests.rs
+++ b/crates/gateway/src/roster_tests.rs
@@ -34,7 +34,7 @@
 #[test]
 fn a_daemon_that_only_says_it_is_alive_keeps_its_place() {
     let mut roster = DaemonRoster::default();
-    assert_eq!(roster.take(at(0), note(DaemonPhase::Ready, 1)), RosterChange::Met);
+    assert_eq!(roster.update(at(0), note(DaemonPhase::Ready, 1)), RosterChange::Met);
     roster.record_presence(at(2_000), &instance(), 7, 1);
     assert_eq!(roster.alive(at(2_000) + SILENCE_TIMEOUT).count(), 1);
     assert_eq!(roster.alive(at(2_001) + SILENCE_TIMEOUT).count(), 0, "silent since");
@@ -43,14 +43,14 @@
 #[test]
 fn news_that_was_lost_is_not_covered_up() {
     let mut roster = DaemonRoster::default();
-    roster.take(at(0), note(DaemonPhase::Ready, 1));
+    roster.update(at(0), note(DaemonPhase::Ready, 1));
     // What came with edition 2 was lost: it may be leaving.
     roster.record_presence(at(2_000), &instance(), 7, 2);
     assert_eq!(roster.alive(at(1) + SILENCE_TIMEOUT).count(), 0);
     // Nor does another start of it speak for this one.
     roster.record_presence(at(2_100), &instance(), 8, 1);
     assert_eq!(roster.alive(at(1) + SILENCE_TIMEOUT).count(), 0);
-    assert_eq!(roster.take(at(2_200), note(DaemonPhase::Leaving, 2)), RosterChange::Changed);
+    assert_eq!(roster.update(at(2_200), note(DaemonPhase::Leaving, 2)), RosterChange::Changed);
     roster.record_presence(at(2_300), &"10.1.0.3:7000".parse().unwrap(), 7, 1);
     assert_eq!(roster.known_count(), 1, "nobody is met without saying who it is");
 }
