--- a/crates/gateway/src/announce.rs
+++ b/crates/gateway/src/announce.rs
@@ -1,4 +1,5 @@
-//! What endpoints say of themselves, and how the other daemons come to know it.
+//! Endpoint announcements: heartbeats, departures and faults, and their distribution to the other
+//! daemons.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,32 +15,33 @@
 use crate::hubs::Tier;
 use crate::peers::PeerMessage;
 
-/// Heartbeats are passed on together, this often; changes are passed on at once.
-const PASS_ON_EVERY: Duration = Duration::from_millis(500);
+/// The interval at which heartbeats are forwarded in one batch. Changes are forwarded at once.
+const HEARTBEAT_FORWARD_INTERVAL: Duration = Duration::from_millis(500);
 
-/// An endpoint that has been silent for this many heartbeats is forgotten.
-const FORGOTTEN_HEARTBEATS: u32 = 12;
+/// The number of heartbeat intervals without a heartbeat after which an endpoint is removed.
+const EXPIRY_HEARTBEATS: u32 = 12;
 
-/// What was reported of skipped entries.
+/// The state that limits the log lines about skipped entries.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct SkippedReport {
     /// When the last line was written.
-    last: Option<MonotonicTime>,
-    /// Entries skipped since then.
+    last_logged: Option<MonotonicTime>,
+    /// The number of entries skipped since the last line.
     unreported: u64,
 }
 
-/// Between two lines about skipped entries, however many come.
-const SKIPPED_EVERY: Duration = Duration::from_secs(1);
+/// The minimum interval between two log lines about skipped entries.
+const SKIPPED_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The most endpoints that one log line lists.
+/// The maximum number of endpoints listed in one log line.
 const MAX_LISTED_ENDPOINTS: usize = 8;
 
-/// Characters of a reason that quotes what somebody else wrote.
-const REASON_CHARACTERS: usize = 160;
+/// The maximum length in characters of a logged reason; a reason may quote text from an external
+/// source.
+const MAX_REASON_CHARS: usize = 160;
 
 impl Gateway {
-    /// Takes in an endpoint's heartbeat; the other daemons are told of a change at once.
+    /// Records an endpoint's heartbeat, and sends a change to the other daemons at once.
     pub fn endpoint_beat(&self, beat: EndpointBeat) {
         let now = self.now();
         let endpoint = beat.endpoint.clone();
@@ -58,12 +60,14 @@
         }
     }
 
-    /// Takes in the farewell of a start, or where that has no time, of the one that is known.
+    /// Removes an endpoint that announced its departure.
+    ///
+    /// Without a start time in `endpoint`, the known start is removed.
     pub fn endpoint_leaves(&self, endpoint: &EndpointStart) {
-        let leaver = self.endpoints.borrow_mut().leave(endpoint);
-        if let Some(leaver) = leaver {
-            self.line(EventKind::Endpoint).text("endpoint", &leaver).text("outcome", "left");
-            self.publish_endpoint_changes(Vec::new(), vec![leaver]);
+        let departed = self.endpoints.borrow_mut().leave(endpoint);
+        if let Some(departed) = departed {
+            self.line(EventKind::Endpoint).text("endpoint", &departed).text("outcome", "left");
+            self.publish_endpoint_changes(Vec::new(), vec![departed]);
             self.endpoints_changed();
         }
     }
@@ -72,49 +76,49 @@
         let now = self.now();
         let tier = self.tier();
         let is_from_leaf = tier == Tier::Hub && !self.roster.borrow().is_hub(from);
-        let mut news = Vec::new();
+        let mut changed = Vec::new();
         for notice in notices {
             let change = self.endpoints.borrow_mut().take(now, notice.beat.clone(), notice.age);
             if matches!(change, BeatChange::Met | BeatChange::Changed) {
                 if tier != Tier::Leaf {
                     self.log_endpoint(&notice.beat, change, Some(from));
                 }
-                news.push(notice);
+                changed.push(notice);
             } else if is_from_leaf && change == BeatChange::Refreshed {
                 self.home.borrow_mut().direct_beats.insert(notice.beat.endpoint);
             }
         }
-        if news.is_empty() {
+        if changed.is_empty() {
             return;
         }
         if tier == Tier::Leaf {
             self.log_endpoint_changes(
                 from,
-                news.iter().map(|notice| &notice.beat.endpoint),
+                changed.iter().map(|notice| &notice.beat.endpoint),
                 "changed",
             );
         }
-        self.forward_endpoint_changes(from, news, Vec::new());
+        self.forward_endpoint_changes(from, changed, Vec::new());
         self.endpoints_changed();
     }
 
     pub(crate) fn on_endpoints_left(&self, from: &InstanceId, endpoints: &[EndpointStart]) {
-        let news: Vec<EndpointStart> = {
+        let departed: Vec<EndpointStart> = {
             let mut registry = self.endpoints.borrow_mut();
             endpoints.iter().filter_map(|endpoint| registry.leave(endpoint)).collect()
         };
-        if news.is_empty() {
+        if departed.is_empty() {
             return;
         }
         if self.tier() == Tier::Leaf {
-            self.log_endpoint_changes(from, news.iter(), "left");
+            self.log_endpoint_changes(from, departed.iter(), "left");
         } else {
-            for endpoint in &news {
+            for endpoint in &departed {
                 let line = self.line(EventKind::Endpoint).text("endpoint", endpoint);
                 line.text("told_by", from).text("outcome", "left");
             }
         }
-        self.forward_endpoint_changes(from, Vec::new(), news);
+        self.forward_endpoint_changes(from, Vec::new(), departed);
         self.endpoints_changed();
     }
 
@@ -133,24 +137,25 @@
             .text("outcome", outcome);
     }
 
-    /// Notes an entry that cannot be read: it names no endpoint to use, and the others hold.
+    /// Logs and counts an entry that cannot be read. Such an entry names no usable endpoint; the
+    /// other entries remain valid.
     pub fn entry_skipped(&self, endpoint: &str, reason: &str) {
         self.metrics.skipped_entries.inc();
         let now = self.now();
-        let SkippedReport { last, unreported } = self.skipped.get();
-        if last.is_some_and(|at| now.since(at) < SKIPPED_EVERY) {
-            self.skipped.set(SkippedReport { last, unreported: unreported + 1 });
+        let SkippedReport { last_logged, unreported } = self.skipped.get();
+        if last_logged.is_some_and(|at| now.since(at) < SKIPPED_LOG_INTERVAL) {
+            self.skipped.set(SkippedReport { last_logged, unreported: unreported + 1 });
             return;
         }
-        self.skipped.set(SkippedReport { last: Some(now), unreported: 0 });
+        self.skipped.set(SkippedReport { last_logged: Some(now), unreported: 0 });
         self.line(EventKind::Endpoint)
             .text("endpoint", endpoint)
-            .text("reason", reason.chars().take(REASON_CHARACTERS).collect::<String>())
+            .text("reason", reason.chars().take(MAX_REASON_CHARS).collect::<String>())
             .number("not_reported", unreported)
             .text("outcome", "skipped");
     }
 
-    /// Forgets an endpoint whose address answers for another one.
+    /// Removes an endpoint whose address is answered by another endpoint.
     pub(crate) fn endpoint_displaced(&self, endpoint: &EndpointStart) {
         let line = self.line(EventKind::Endpoint).text("endpoint", endpoint);
         line.text("outcome", "displaced");
@@ -213,25 +218,28 @@
         }
     }
 
-    /// Passes heartbeats on, and forgets endpoints that have been silent for long.
+    /// Forwards heartbeats, and removes endpoints that have been silent for too long.
     pub(crate) async fn forward_heartbeats_periodically(self: Rc<Self>) {
         let mut round = 0_u64;
         loop {
-            sleep(PASS_ON_EVERY).await;
+            sleep(HEARTBEAT_FORWARD_INTERVAL).await;
             let now = self.now();
             let direct = std::mem::take(&mut self.home.borrow_mut().direct_beats);
             let notices = self.endpoints.borrow().notices_of(now, &direct);
             if !notices.is_empty() {
-                self.pass_on_heartbeats(notices, round);
+                self.forward_heartbeats(notices, round);
             }
             round += 1;
             self.expire_endpoints(now);
         }
     }
 
-    /// Tells the others that endpoints are alive. Between data centres this goes once to each of them:
-    /// of all that 200 daemons say to each other it was the most (60 of 216 MB in a minute with load).
-    fn pass_on_heartbeats(&self, notices: Vec<EndpointNotice>, round: u64) {
+    /// Forwards heartbeats to other daemons.
+    ///
+    /// In a mesh, one daemon of each other data centre gets them and relays them there. Without
+    /// relays, heartbeats are the largest part of the traffic between 200 daemons: 60 of 216 MB in
+    /// a minute under load.
+    fn forward_heartbeats(&self, notices: Vec<EndpointNotice>, round: u64) {
         match self.tier() {
             Tier::Mesh => {}
             Tier::Leaf => {
@@ -250,20 +258,20 @@
         self.mesh.send_all(&relays, &PeerMessage::EndpointsRelayed(notices));
     }
 
-    /// Takes in what a daemon of another data centre has heard, and passes it on in this one.
+    /// Records notices from a daemon of another data centre, and forwards them in this one.
     pub(crate) fn on_relayed_notices(&self, from: &InstanceId, notices: Vec<EndpointNotice>) {
         let own_centre = &self.settings().data_centre;
         let alive = self.alive_with_centres().into_iter();
-        let near: Vec<InstanceId> = alive
+        let local: Vec<InstanceId> = alive
             .filter(|(_, centre)| centre == own_centre)
             .map(|(instance, _)| instance)
             .collect();
-        self.mesh.send_all(&near, &PeerMessage::Endpoints(notices.clone()));
+        self.mesh.send_all(&local, &PeerMessage::Endpoints(notices.clone()));
         self.on_endpoint_notices(from, notices);
     }
 
     fn expire_endpoints(&self, now: MonotonicTime) {
-        let silence = self.settings().bounds.endpoint_heartbeat * FORGOTTEN_HEARTBEATS;
+        let silence = self.settings().bounds.endpoint_heartbeat * EXPIRY_HEARTBEATS;
         let expired = self.endpoints.borrow_mut().expire(now, silence);
         for endpoint in &expired {
             self.line(EventKind::Endpoint)
@@ -283,7 +291,7 @@
         self.balancer.borrow_mut().retain(|endpoint| registry.takes_work(endpoint).is_some());
     }
 
-    /// Notes that an endpoint failed a request, and tells the others.
+    /// Records that an endpoint failed a request, and reports the fault to the other daemons.
     pub(crate) fn endpoint_fault(&self, request: &str, endpoint: &EndpointStart, fault: FaultKind) {
         self.line(EventKind::EndpointFault)
             .text("request", request)
--- a/crates/gateway/src/clock_tests.rs
+++ b/crates/gateway/src/clock_tests.rs
@@ -1,8 +1,8 @@
-//! A machine that is suspended: what the process takes the time for afterwards.
+//! Tests of the process clock across suspensions of the machine.
 //!
-//! Found by reading: a machine may be suspended for seconds, and the steady clock does not count them. An
-//! instance that woke took the proof of its document, its lease and its callers' deadlines for as young
-//! as before. Proof: clocks that part, moved by hand.
+//! The steady clock does not count suspended time. With it, a resumed instance would consider the
+//! proof of its document, its lease and its callers' deadlines as recent as before the suspension.
+//! The tests advance both clocks by hand.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -37,25 +37,25 @@
 }
 
 #[test]
-fn time_goes_on_while_the_machine_is_suspended() {
+fn the_clock_includes_suspended_time() {
     let clock = ProcessClock::start_with(|| READING.get());
-    let asked = clock.now();
+    let start = clock.now();
     run_for(Duration::from_millis(500));
     suspend_for(Duration::from_secs(8));
     run_for(Duration::from_millis(500));
     assert_eq!(
-        clock.now().since(asked),
+        clock.now().since(start),
         Duration::from_secs(9),
-        "a proof of then is as old as this"
+        "the age of a proof includes the suspension"
     );
     assert_eq!(clock.uptime(), Duration::from_secs(9));
     assert_eq!(clock.suspended(), Duration::from_secs(8));
     assert_eq!(clock.newly_suspended(Duration::from_secs(1)), Some(Duration::from_secs(7)));
-    assert_eq!(clock.newly_suspended(Duration::from_secs(8)), None, "noticed before");
+    assert_eq!(clock.newly_suspended(Duration::from_secs(8)), None, "already recorded");
 }
 
 #[test]
-fn time_between_two_readings_is_no_suspension() {
+fn a_short_difference_between_the_clocks_is_no_suspension() {
     let clock = ProcessClock::start_with(|| READING.get());
     suspend_for(Duration::from_millis(3));
     run_for(Duration::from_secs(60));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn the_real_clocks_agree_while_nothing_is_suspended() {
+fn the_system_clocks_agree_without_a_suspension() {
     let clock = ProcessClock::start();
     let before = clock.now();
     std::thread::sleep(Duration::from_millis(30));
@@ -72,10 +72,12 @@
     assert_eq!(clock.newly_suspended(Duration::ZERO), None);
 }
 
-/// A dialect that says nothing: no request is read here.
+/// Returns a dialect without content, for tests that read no request.
 fn no_dialect() -> WireDialect {
     WireDialect {
-        decode_document: |_| Err(DocumentProblem::Unreadable("none is read here".to_owned())),
+        decode_document: |_| {
+            Err(DocumentProblem::Unreadable("no document is read in this test".to_owned()))
+        },
         read_request: |_| RequestFacts::default(),
         strip_request: |_: &mut HeaderMap, _| {},
         write_send: |_: &SendFacts, _| {},
@@ -98,15 +100,15 @@
 }
 
 #[test]
-fn an_instance_that_wakes_needs_a_new_proof_before_it_serves_keys() {
+fn a_resumed_instance_needs_a_new_proof_before_it_serves_keys() {
     let gateway = gateway();
     run_for(Duration::from_secs(1));
     gateway.documents.borrow_mut().prove(gateway.now());
     run_for(Duration::from_millis(100));
     assert!(gateway.is_fresh() && gateway.has_recent_proof());
     suspend_for(Duration::from_secs(8));
-    assert!(!gateway.is_fresh(), "a key may have been taken away meanwhile");
-    assert!(!gateway.has_recent_proof(), "callers are not sent here");
+    assert!(!gateway.is_fresh(), "a key may have been revoked meanwhile");
+    assert!(!gateway.has_recent_proof(), "the instance is not offered to callers");
     gateway.documents.borrow_mut().prove(gateway.now());
-    assert!(gateway.is_fresh(), "a new proof is as good as ever");
+    assert!(gateway.is_fresh(), "a new proof makes the instance fresh again");
 }
--- a/crates/gateway/src/deputies.rs
+++ b/crates/gateway/src/deputies.rs
@@ -1,10 +1,11 @@
-//! Who places prompts while the home is away.
+//! The selection of deputies, the daemons that place prompts while the home does not answer.
 //!
-//! The home may be gone, between two elections, or alive and too slow to answer in time. Entries
-//! then turn to deputies: ordinary daemons, each the home of one part of the engines, so that they
-//! need not know of each other. Every entry finds the same ones without asking, by a rank of the
-//! daemons that it hears. They are chosen among daemons without a disk where there are enough,
-//! since all that hold the log may be away at once.
+//! The home may be missing between two elections, or alive but too slow to answer in time. Entries
+//! then send their prompts to deputies: ordinary daemons, each of which places prompts on one cell
+//! (a disjoint part) of the engines, so that deputies need not coordinate. Each entry computes the
+//! deputies on its own, by a rank of the live daemons, and entries with the same view get the same
+//! deputies. Daemons without a disk are preferred if there are enough of them, because all daemons
+//! that hold the log may fail at once.
 
 use std::time::Duration;
 
@@ -14,67 +15,69 @@
 use crate::gossip::rank;
 use crate::roster::{DaemonNote, DaemonPhase};
 
-/// Engines in one deputy's part: a long prompt is read by up to sixteen, and some are busy.
-const CELL_ENGINES: usize = 28;
+/// The number of engines in one cell. Up to sixteen engines read a long prompt, and some are busy.
+const ENGINES_PER_CELL: usize = 28;
 
-/// The most parts. A deputy has a third of a home's processor, so four of them bear its load in a surge.
-const MOST_CELLS: usize = 4;
+/// The maximum number of cells. A deputy has a third of a home's processor, so four deputies can
+/// carry the home's load in a surge.
+const MAX_CELLS: usize = 4;
 
-/// How long deputies are told what becomes of prompts after the home was last away: longer than
-/// any prompt that they were told of lasts.
-const TOLD_FOR: Duration = Duration::from_secs(30);
+/// How long deputies are notified of the progress of prompts after the last time-out of the home.
+/// It is longer than any prompt that deputies were notified of.
+const NOTIFICATION_GRACE: Duration = Duration::from_secs(30);
 
-/// The daemons that place prompts instead of the home, one for each part of the engines.
+/// Returns the daemons that place prompts instead of the home, one for each cell of the engines.
 ///
-/// `home` is the one that is away. There are none where no daemon is heard.
+/// `home` is the daemon that does not answer. The result is empty if no other daemon is alive and
+/// ready.
 pub(crate) fn deputies<'a>(
     alive: impl Iterator<Item = &'a DaemonNote>,
     home: Option<&InstanceId>,
     engines: usize,
 ) -> Vec<InstanceId> {
     let ready = alive.filter(|note| note.phase == DaemonPhase::Ready);
-    let others = ready.filter(|note| Some(&note.instance) != home);
-    choose_deputies(others.map(|note| (&note.instance, note.has_disk)).collect(), engines)
+    let candidates = ready.filter(|note| Some(&note.instance) != home);
+    choose_deputies(candidates.map(|note| (&note.instance, note.has_disk)).collect(), engines)
 }
 
-/// Chooses deputies among ready daemons, each given with whether it has a disk.
-pub(crate) fn choose_deputies(others: Vec<(&InstanceId, bool)>, engines: usize) -> Vec<InstanceId> {
-    let cells = (engines / CELL_ENGINES).clamp(1, MOST_CELLS);
+/// Chooses deputies among ready daemons; each daemon is paired with whether it has a disk.
+pub(crate) fn choose_deputies(ready: Vec<(&InstanceId, bool)>, engines: usize) -> Vec<InstanceId> {
+    let cells = (engines / ENGINES_PER_CELL).clamp(1, MAX_CELLS);
     let without_disk: Vec<(&InstanceId, bool)> =
-        others.iter().filter(|(_, has_disk)| !has_disk).copied().collect();
-    let candidates = if without_disk.len() >= 2 * cells { without_disk } else { others };
+        ready.iter().filter(|(_, has_disk)| !has_disk).copied().collect();
+    let candidates = if without_disk.len() >= 2 * cells { without_disk } else { ready };
     let best = |cell: usize| candidates.iter().min_by_key(|(instance, _)| rank(instance, &cell));
     (0..cells).filter_map(best).map(|(instance, _)| (*instance).clone()).collect()
 }
 
-/// Returns the part of the engines that a prompt is placed on, and the deputy for it.
+/// Returns the deputy for a prompt and the cell of the engines that it places the prompt on.
 pub(crate) fn deputy_for(
     deputies: &[InstanceId],
     key: PromptKey,
 ) -> Option<(InstanceId, EngineCell)> {
     let count = u32::try_from(deputies.len()).ok().filter(|count| *count > 0)?;
-    // Entries number their prompts from anywhere, so the parts get equally many.
+    // Each entry starts its prompt numbers at an arbitrary value, so the cells get equal shares.
     let index = u32::try_from((key.entry ^ key.number) % u64::from(count)).ok()?;
     let deputy = deputies.get(index as usize)?.clone();
     Some((deputy, EngineCell { index, count }))
 }
 
-/// What an entry knows of whether its home answers in time.
+/// Tracks whether the home answers an entry in time, and which deputies the entry has notified.
 #[derive(Debug, Default)]
 pub(crate) struct HomeWatch {
     is_away: bool,
-    /// The deputies that were told what runs, and when the home was last found away.
-    told: Option<(MonotonicTime, Vec<InstanceId>)>,
+    /// The deputies notified of running prompts, and the time of the home's last time-out.
+    notified: Option<(MonotonicTime, Vec<InstanceId>)>,
 }
 
 impl HomeWatch {
-    /// Returns whether the home did not answer in time when it was last asked anything.
+    /// Returns whether the home did not answer its last request in time.
     pub(crate) fn is_away(&self) -> bool {
         self.is_away
     }
 
-    /// Notes that the home did not answer in time; returns the deputies that have not been told
-    /// yet what runs.
+    /// Records that the home did not answer in time; returns the deputies that are not notified of
+    /// running prompts yet.
     pub(crate) fn record_timeout(
         &mut self,
         now: MonotonicTime,
@@ -82,24 +85,24 @@
     ) -> Vec<InstanceId> {
         self.is_away = true;
         let before = self.notified_deputies(now).to_vec();
-        let news = deputies.iter().filter(|deputy| !before.contains(deputy)).cloned().collect();
-        let mut told = before;
-        told.extend(
-            deputies.into_iter().filter(|deputy| !told.contains(deputy)).collect::<Vec<_>>(),
+        let added = deputies.iter().filter(|deputy| !before.contains(deputy)).cloned().collect();
+        let mut notified = before;
+        notified.extend(
+            deputies.into_iter().filter(|deputy| !notified.contains(deputy)).collect::<Vec<_>>(),
         );
-        self.told = Some((now, told));
-        news
+        self.notified = Some((now, notified));
+        added
     }
 
-    /// Notes that the home answers; returns whether it did not before.
+    /// Records that the home answered; returns whether it was away before.
     pub(crate) fn record_answer(&mut self) -> bool {
         std::mem::take(&mut self.is_away)
     }
 
-    /// Returns the deputies that have to be told what becomes of prompts.
+    /// Returns the deputies that are to be notified of the progress of prompts.
     pub(crate) fn notified_deputies(&self, now: MonotonicTime) -> &[InstanceId] {
-        match &self.told {
-            Some((at, told)) if now.since(*at) < TOLD_FOR => told,
+        match &self.notified {
+            Some((at, notified)) if now.since(*at) < NOTIFICATION_GRACE => notified,
             _ => &[],
         }
     }
--- a/crates/gateway/src/deputies_tests.rs
+++ b/crates/gateway/src/deputies_tests.rs
@@ -1,4 +1,5 @@
-//! Without a home, all entries find the same deputies, and these bear the loss of the whole core.
+//! Tests of the selection of deputies: entries agree on the deputies, and the deputies survive the
+//! loss of all daemons with a disk.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn deputies_are_daemons_without_a_disk_one_for_each_part_of_the_engines() {
+fn deputies_are_daemons_without_a_disk_one_for_each_cell() {
     let all = fleet(5, 195);
     let chosen = deputies(all.iter(), Some(&all[0].instance), 112);
     assert_eq!(chosen.len(), 4);
@@ -45,7 +46,7 @@
 }
 
 #[test]
-fn the_home_is_no_deputy_and_a_small_system_takes_what_it_has() {
+fn the_home_is_no_deputy_and_a_small_system_uses_daemons_with_a_disk() {
     let all = fleet(3, 0);
     let chosen = deputies(all.iter(), Some(&all[1].instance), 18);
     assert_eq!(chosen.len(), 1);
@@ -60,12 +61,12 @@
         let rest = all.iter().filter(|note| note.instance != *lost);
         let next = deputies(rest, None, 112);
         let common = chosen.iter().filter(|deputy| next.contains(deputy)).count();
-        assert_eq!(common, 3, "only the part of the lost one changes hands");
+        assert_eq!(common, 3, "only the cell of the lost deputy changes");
     }
 }
 
 #[test]
-fn prompts_of_all_entries_go_to_the_parts_evenly() {
+fn prompts_of_all_entries_are_spread_evenly_over_the_cells() {
     let all = fleet(5, 195);
     let chosen = deputies(all.iter(), None, 112);
     let mut counts = [0; 4];
@@ -81,21 +82,18 @@
 }
 
 #[test]
-fn each_deputy_is_told_once_what_runs_and_for_a_while_what_becomes_of_it() {
+fn deputies_are_notified_once_of_running_prompts_and_of_progress_until_the_grace_ends() {
     let names = |numbers: &[usize]| -> Vec<InstanceId> {
         numbers.iter().map(|number| note(*number, false).instance).collect()
     };
     let mut watch = HomeWatch::default();
     assert!(!watch.is_away());
     assert_eq!(watch.record_timeout(at(0), names(&[1, 2])), names(&[1, 2]));
-    assert_eq!(
-        watch.record_timeout(at(100), names(&[2, 3])),
-        names(&[3]),
-        "one deputy has changed"
-    );
+    assert_eq!(watch.record_timeout(at(100), names(&[2, 3])), names(&[3]), "one deputy is new");
     assert!(watch.is_away());
     assert!(watch.record_answer() && !watch.is_away() && !watch.record_answer());
-    let told: BTreeSet<InstanceId> = watch.notified_deputies(at(20_000)).iter().cloned().collect();
-    assert_eq!(told, names(&[1, 2, 3]).into_iter().collect());
+    let notified: BTreeSet<InstanceId> =
+        watch.notified_deputies(at(20_000)).iter().cloned().collect();
+    assert_eq!(notified, names(&[1, 2, 3]).into_iter().collect());
     assert!(watch.notified_deputies(at(31_000)).is_empty());
 }
