--- a/crates/gateway/src/announce.rs
+++ b/crates/gateway/src/announce.rs
@@ -180,7 +180,7 @@
     /// Sends changes that endpoints announced to this daemon; a hub queues them for its leaves.
     fn publish_endpoint_changes(&self, notices: Vec<EndpointNotice>, left: Vec<EndpointStart>) {
         let to = match self.tier() {
-            Tier::Mesh | Tier::Leaf => self.news_targets(),
+            Tier::Mesh | Tier::Leaf => self.broadcast_targets(),
             Tier::Hub => self.other_hubs(),
         };
         self.send_endpoint_changes(&to, &notices, &left);
@@ -299,7 +299,7 @@
             .text("fault", fault.name());
         self.balancer.borrow_mut().fault(self.now(), endpoint, fault);
         let faults = PeerMessage::Faults(vec![(endpoint.clone(), fault)]);
-        self.mesh.send_all(&self.news_targets(), &faults);
+        self.mesh.send_all(&self.broadcast_targets(), &faults);
     }
 
     pub(crate) fn on_faults(&self, from: &InstanceId, faults: &[(EndpointStart, FaultKind)]) {
--- a/crates/gateway/src/hubs.rs
+++ b/crates/gateway/src/hubs.rs
@@ -139,7 +139,7 @@
     }
 
     /// Returns the recipients of news that originates here.
-    pub(crate) fn news_targets(&self) -> Vec<InstanceId> {
+    pub(crate) fn broadcast_targets(&self) -> Vec<InstanceId> {
         match self.tier() {
             Tier::Mesh => self.roster.borrow().known().cloned().collect(),
             Tier::Leaf => self.attached_hubs(),
@@ -151,10 +151,10 @@
     pub(crate) fn forward_targets(&self, from: &InstanceId) -> Vec<InstanceId> {
         match self.tier() {
             // The leader forwards news to daemons that are cut off from its sender.
-            Tier::Mesh if self.is_leader() => self.news_targets(),
+            Tier::Mesh if self.is_leader() => self.broadcast_targets(),
             Tier::Mesh | Tier::Leaf => Vec::new(),
             Tier::Hub if self.roster.borrow().is_hub(from) => self.own_leaves(),
-            Tier::Hub => self.news_targets().into_iter().filter(|to| to != from).collect(),
+            Tier::Hub => self.broadcast_targets().into_iter().filter(|to| to != from).collect(),
         }
     }
 
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -168,7 +168,7 @@
     fn stop(&self) {
         self.line(EventKind::Stop).number("active", self.active_requests.get());
         self.lifecycle.send_replace(Lifecycle::Stopped);
-        self.mesh.send_all(&self.news_targets(), &PeerMessage::Farewell);
+        self.mesh.send_all(&self.broadcast_targets(), &PeerMessage::Farewell);
         self.log.flush(LOG_PATIENCE);
     }
 
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -254,7 +254,7 @@
     }
 
     fn tell_cases(&self, news: &[CaseNews]) {
-        let to = self.news_targets();
+        let to = self.broadcast_targets();
         for message in in_messages(news) {
             self.mesh.send_all(&to, &message);
         }
