--- a/crates/gateway/src/announce.rs
+++ b/crates/gateway/src/announce.rs
@@ -63,7 +63,7 @@
     /// Removes an endpoint that announced its departure.
     ///
     /// Without a start time in `endpoint`, the known start is removed.
-    pub fn endpoint_leaves(&self, endpoint: &EndpointStart) {
+    pub fn remove_endpoint(&self, endpoint: &EndpointStart) {
         let departed = self.endpoints.borrow_mut().leave(endpoint);
         if let Some(departed) = departed {
             self.line(EventKind::Endpoint).text("endpoint", &departed).text("outcome", "left");
@@ -159,7 +159,7 @@
     pub(crate) fn endpoint_displaced(&self, endpoint: &EndpointStart) {
         let line = self.line(EventKind::Endpoint).text("endpoint", endpoint);
         line.text("outcome", "displaced");
-        self.endpoint_leaves(endpoint);
+        self.remove_endpoint(endpoint);
     }
 
     fn log_endpoint(&self, beat: &EndpointBeat, change: BeatChange, from: Option<&InstanceId>) {
