--- a/crates/gateway/src/announce.rs
+++ b/crates/gateway/src/announce.rs
@@ -236,7 +236,7 @@
 
     /// Forwards heartbeats to other daemons.
     ///
-    /// In a mesh, one daemon of each other data centre gets them and relays them there. Without
+    /// In a large mesh, one daemon of each other data centre receives and relays them. Without
     /// relays, heartbeats are the largest part of the traffic between 200 daemons: 60 of 216 MB in
     /// a minute under load.
     fn forward_heartbeats(&self, notices: Vec<EndpointNotice>, round: u64) {
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -1,11 +1,11 @@
-//! Who tells whom what: the rules that keep control traffic in proportion to the instances.
+//! Dissemination rules that keep control traffic proportional to the number of instances.
 //!
-//! Every daemon has a link to every other one, so anything that each says to each grows with the
-//! square of their number. What most of them would only repeat is said by a few of them: whom one
-//! knows, which endpoints there are, and the newest routing document. Each rule has a way to heal
-//! what the few failed to say, and needs no agreement on who they are. In a minute with load, 200
-//! daemons sent each other 452 MB without these rules and 216 MB with those for daemons, new links and
-//! documents (counted by kind of message).
+//! In a mesh, every daemon has a link to every other daemon, so a message from each to each grows
+//! with the square of their number. Only a few daemons therefore send what most would only repeat:
+//! the list of known daemons, the endpoints, and the newest routing document. Each rule recovers
+//! from messages that those few failed to send, and needs no agreement on which daemons they are.
+//! In a minute under load, 200 daemons send each other 452 MB without these rules, and 216 MB with
+//! the rules for member lists, new links and documents.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{Hash, Hasher};
@@ -14,63 +14,69 @@
 use oriolepass_routing::RoutingRevision;
 use oriolepass_units::{DataCentreId, InstanceId, MonotonicTime};
 
-/// How many daemons tell a newcomer what they know; all of them would send the same. Any one of
-/// four is enough, and all four are lost together only when much else is.
-const SPONSORS: usize = 4;
+/// The number of sponsors, the daemons that send their whole state to a newcomer. All daemons would
+/// send the same state, so one sponsor is enough. Four sponsors are lost together only in a loss of
+/// many daemons.
+const SPONSORS_PER_NEWCOMER: usize = 4;
 
-/// Up to this many daemons the leader sends a document to each itself: relays would save little
-/// and cost a hop.
-const RELAYED_FROM: usize = 24;
+/// The minimum number of recipients for the use of relays. With fewer recipients, relays save
+/// little traffic and add a hop, so the sender sends to each recipient directly.
+const MIN_RELAYED_DAEMONS: usize = 24;
 
-/// How many daemons one relay passes a document on to. With 200 daemons the leader sends some 15
-/// times instead of 200, and a relay on a link of 20 Mbit/s needs 0.2 s for a document of 40 kB.
+/// The number of daemons that one relay forwards a document to. With 200 daemons the leader sends
+/// about 15 copies instead of 200, and a relay on a link of 20 Mbit/s needs 0.2 s for a document of
+/// 40 kB.
 const RELAY_FANOUT: usize = 14;
 
-/// How long relays have to bring a document before the leader sends it itself.
-const RELAY_PATIENCE: Duration = Duration::from_millis(300);
+/// How long the leader waits for the relays to deliver a document before it sends a copy directly.
+const RELAY_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Between two copies of one document to the same daemon: it is on its way for some time where
-/// links are narrow, and the question that shows that it lacks comes again meanwhile.
-const COPY_AGAIN: Duration = Duration::from_millis(1_000);
+/// The minimum interval between two direct copies to the same daemon. A copy needs some time on a
+/// link with little bandwidth, and the recipient repeats the request that shows its old revision
+/// meanwhile.
+const COPY_RESEND_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Documents whose spreading is remembered: several seconds of changes in quick succession.
-const REMEMBERED_SPREADS: usize = 128;
+/// The maximum number of documents whose dissemination is tracked. It covers several seconds of
+/// changes in quick succession.
+const MAX_TRACKED_DOCUMENTS: usize = 128;
 
-/// Returns whether to tell a daemon whom one knows, where `draw` is a random number from 0 to 1.
+/// Returns whether to answer a daemon's greeting with the list of known daemons.
 ///
-/// One that knows less than half of what is known here is new and is told at once. One that lacks
-/// a few is told by a few of those it greets, and again after its next greeting.
+/// `draw` is a random number from 0 to 1. A daemon that knows less than half as many daemons as
+/// this one is new and always gets the list. A daemon that lacks a few gets the list from a few of
+/// the daemons that it greets, and again after its next greeting while it still lacks some.
 pub(crate) fn should_send_member_list(own_known: usize, their_known: usize, draw: f64) -> bool {
     if their_known >= own_known {
         return false;
     }
-    their_known * 2 < own_known || draw * (own_known as f64) < SPONSORS as f64
+    their_known * 2 < own_known || draw * (own_known as f64) < SPONSORS_PER_NEWCOMER as f64
 }
 
-/// Returns whether to tell a daemon of the hubs, of which `hubs` are known here.
+/// Returns whether to answer a daemon's greeting with the list of hubs, of which `hubs` are known.
 ///
-/// A daemon without a disk counts all daemons that it knows, perhaps no hub among them, so it is always told.
+/// A daemon without a disk always gets the list, because its count `their_known` covers all daemons
+/// that it knows and may include no hub.
 pub(crate) fn should_send_hub_list(hubs: usize, their_known: usize, has_disk: bool) -> bool {
     hubs > 0 && (!has_disk || their_known < hubs)
 }
 
-/// Returns whether `own` is one of the few that tell `newcomer` all about the endpoints.
+/// Returns whether `own` is a sponsor of `newcomer` and sends it the whole state of the endpoints.
 ///
-/// Each daemon ranks all of them by a hash with the newcomer's name, so the sponsors are others
-/// for each newcomer. Where views differ there are a few more or fewer of them.
+/// Each daemon ranks all daemons by a hash with the newcomer's id, so the sponsors differ from one
+/// newcomer to the next. If the daemons' views differ, there are a few more or fewer sponsors.
 pub(crate) fn is_sponsor<'a>(
     own: &InstanceId,
     newcomer: &InstanceId,
     others: impl Iterator<Item = &'a InstanceId>,
 ) -> bool {
     let own_rank = rank(own, newcomer);
-    let ahead = others
+    let ranked_before = others
         .filter(|other| *other != newcomer && *other != own)
         .filter(|other| rank(other, newcomer) < own_rank);
-    ahead.take(SPONSORS).count() < SPONSORS
+    ranked_before.take(SPONSORS_PER_NEWCOMER).count() < SPONSORS_PER_NEWCOMER
 }
 
-/// Returns a number that orders instances differently for each `key`, the same on every instance.
+/// Returns a hash that orders instances differently for each `key`, and equally on every instance.
 pub(crate) fn rank(instance: &InstanceId, key: &impl Hash) -> u64 {
     let mut hasher = xxhash_rust::xxh3::Xxh3Default::new();
     key.hash(&mut hasher);
@@ -78,20 +84,21 @@
     hasher.finish()
 }
 
-/// A daemon that gets a document from its leader, and those that it passes the document on to.
+/// A daemon that gets a document from the leader, and the daemons that it forwards the document to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct RelayGroup {
     pub(crate) relay: InstanceId,
     pub(crate) pass_on: Vec<InstanceId>,
 }
 
-/// Divides daemons into groups with a relay each, within data centres; which one is the relay
-/// differs from one document to the next.
+/// Divides daemons into groups with one relay each. The members of a group are in the same data
+/// centre, and the relays differ from one document to the next. With few daemons, each gets the
+/// document directly.
 pub(crate) fn relay_groups(
     members: Vec<(InstanceId, DataCentreId)>,
     revision: RoutingRevision,
 ) -> Vec<RelayGroup> {
-    if members.len() < RELAYED_FROM {
+    if members.len() < MIN_RELAYED_DAEMONS {
         let direct = |(relay, _)| RelayGroup { relay, pass_on: Vec::new() };
         return members.into_iter().map(direct).collect();
     }
@@ -109,24 +116,25 @@
     groups
 }
 
-/// Who is told directly that endpoints are alive, and who passes that on.
+/// The recipients of endpoint heartbeats.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(crate) struct HeartbeatRoute {
     pub(crate) direct: Vec<InstanceId>,
-    /// One daemon of each other data centre, which tells the others there.
+    /// One daemon of each other data centre, which forwards the heartbeats there.
     pub(crate) relays: Vec<InstanceId>,
 }
 
-/// Returns the way of heartbeats from a daemon in `own_centre` to `members`. The relays differ from one
-/// `round` to the next, so that one that has just been lost costs a heartbeat and not a data centre's
-/// view.
+/// Returns the recipients of heartbeats that a daemon in `own_centre` sends to `members`.
+///
+/// The relays differ from one `round` to the next, so a data centre misses only one heartbeat if a
+/// relay has just been lost.
 pub(crate) fn heartbeat_route(
     members: Vec<(InstanceId, DataCentreId)>,
     own_centre: &DataCentreId,
     round: u64,
 ) -> HeartbeatRoute {
     let mut route = HeartbeatRoute::default();
-    if members.len() < RELAYED_FROM {
+    if members.len() < MIN_RELAYED_DAEMONS {
         route.direct = members.into_iter().map(|(instance, _)| instance).collect();
         return route;
     }
@@ -140,41 +148,42 @@
     route
 }
 
-/// What the leader has sent of documents, so that it sends nothing that is on its way already.
+/// Tracks the documents that the leader has sent, so that it does not send a document again that is
+/// still in transit.
 #[derive(Debug, Default)]
 pub(crate) struct DocumentDissemination {
-    spread: VecDeque<(RoutingRevision, MonotonicTime)>,
+    sent: VecDeque<(RoutingRevision, MonotonicTime)>,
     copies: BTreeMap<InstanceId, MonotonicTime>,
 }
 
 impl DocumentDissemination {
-    /// Notes that a document was handed to the relays.
+    /// Records that a document was sent to the relays.
     pub(crate) fn begin(&mut self, now: MonotonicTime, revision: RoutingRevision) {
-        self.spread.push_back((revision, now));
-        if self.spread.len() > REMEMBERED_SPREADS {
-            self.spread.pop_front();
+        self.sent.push_back((revision, now));
+        if self.sent.len() > MAX_TRACKED_DOCUMENTS {
+            self.sent.pop_front();
         }
     }
 
-    /// Returns whether a daemon that holds `held` needs a copy of the newest document from the
-    /// leader itself, and notes that it gets one if so.
+    /// Returns whether the leader has to send a copy of the newest document to a daemon that holds
+    /// `held`, and records the copy if so.
     ///
-    /// It does once the relays had their time for the first document that it lacks, however many
-    /// have followed.
+    /// The time-out of the relays counts from the first document that the daemon lacks, so later
+    /// documents do not delay the copy.
     pub(crate) fn needs_copy(
         &mut self,
         now: MonotonicTime,
         to: &InstanceId,
         held: Option<RoutingRevision>,
     ) -> bool {
-        let first_lacking = self.spread.iter().find(|(revision, _)| Some(*revision) > held);
-        if first_lacking.is_some_and(|(_, at)| now.since(*at) < RELAY_PATIENCE) {
+        let first_missing = self.sent.iter().find(|(revision, _)| Some(*revision) > held);
+        if first_missing.is_some_and(|(_, at)| now.since(*at) < RELAY_TIMEOUT) {
             return false;
         }
-        if self.copies.get(to).is_some_and(|at| now.since(*at) < COPY_AGAIN) {
+        if self.copies.get(to).is_some_and(|at| now.since(*at) < COPY_RESEND_INTERVAL) {
             return false;
         }
-        self.copies.retain(|_, at| now.since(*at) < COPY_AGAIN);
+        self.copies.retain(|_, at| now.since(*at) < COPY_RESEND_INTERVAL);
         self.copies.insert(to.clone(), now);
         true
     }
--- a/crates/gateway/src/gossip_tests.rs
+++ b/crates/gateway/src/gossip_tests.rs
@@ -1,4 +1,5 @@
-//! Control traffic stays in proportion to the instances, and nobody is left out.
+//! Tests of the dissemination rules: control traffic stays proportional to the number of instances,
+//! and every daemon is reached.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -40,7 +41,7 @@
 }
 
 #[test]
-fn relays_stand_in_the_data_centre_of_those_they_pass_on_to_and_take_turns() {
+fn relays_are_in_the_data_centre_of_their_recipients_and_differ_per_document() {
     let all = members(199);
     let centre = |instance: &InstanceId| all.iter().find(|(i, _)| i == instance).unwrap().1.clone();
     let first = relay_groups(all.clone(), RoutingRevision(1));
@@ -54,16 +55,19 @@
     assert_ne!(relays(&first), relays(&second));
 }
 
+// Guards against restarting the relay time-out with each document: under frequent changes, a daemon
+// without its relay would never get a copy.
 #[test]
-fn a_daemon_whose_relay_is_lost_gets_its_copy_in_a_storm_of_documents() {
-    let mut spread = DocumentDissemination::default();
+fn a_daemon_whose_relay_is_lost_gets_a_copy_while_new_documents_follow() {
+    let mut dissemination = DocumentDissemination::default();
     let held = Some(RoutingRevision(10));
     let mut copies = Vec::new();
     for step in 0..40 {
-        // A new document each 60 ms, and a question each 120 ms from one that still has the tenth.
+        // A new document follows every 60 ms, and a daemon that still holds revision 10 sends a
+        // request every 120 ms.
         let now = at(step * 60);
-        spread.begin(now, RoutingRevision(11 + step));
-        if step % 2 == 0 && spread.needs_copy(now, &instance(1), held) {
+        dissemination.begin(now, RoutingRevision(11 + step));
+        if step % 2 == 0 && dissemination.needs_copy(now, &instance(1), held) {
             copies.push(step * 60);
         }
     }
@@ -72,32 +76,35 @@
 }
 
 #[test]
-fn a_daemon_that_lacks_an_old_document_gets_it_at_once() {
-    let mut spread = DocumentDissemination::default();
-    assert!(spread.needs_copy(at(5), &instance(1), None), "nothing was spread by this leader");
-    spread.begin(at(1_000), RoutingRevision(3));
-    assert!(!spread.needs_copy(at(1_100), &instance(2), Some(RoutingRevision(2))));
-    assert!(spread.needs_copy(at(1_300), &instance(2), Some(RoutingRevision(2))));
+fn a_daemon_that_lacks_an_old_document_gets_a_copy_at_once() {
+    let mut dissemination = DocumentDissemination::default();
+    assert!(
+        dissemination.needs_copy(at(5), &instance(1), None),
+        "this leader has sent no document"
+    );
+    dissemination.begin(at(1_000), RoutingRevision(3));
+    assert!(!dissemination.needs_copy(at(1_100), &instance(2), Some(RoutingRevision(2))));
+    assert!(dissemination.needs_copy(at(1_300), &instance(2), Some(RoutingRevision(2))));
 }
 
 #[test]
-fn each_newcomer_has_a_few_sponsors_and_newcomers_have_different_ones() {
+fn each_newcomer_has_four_sponsors_and_sponsors_differ_per_newcomer() {
     let all: Vec<InstanceId> = (0..200).map(instance).collect();
-    let mut duties = vec![0; all.len()];
+    let mut assignments = vec![0; all.len()];
     for newcomer in &all {
         let sponsors: Vec<usize> = (0..all.len())
             .filter(|own| all[*own] != *newcomer)
             .filter(|own| is_sponsor(&all[*own], newcomer, all.iter()))
             .collect();
         assert_eq!(sponsors.len(), 4, "of {newcomer}");
-        sponsors.into_iter().for_each(|sponsor| duties[sponsor] += 1);
+        sponsors.into_iter().for_each(|sponsor| assignments[sponsor] += 1);
     }
-    assert!(duties.iter().all(|duty| *duty <= 16), "{duties:?}");
+    assert!(assignments.iter().all(|count| *count <= 16), "{assignments:?}");
 }
 
 #[test]
-fn a_start_of_all_daemons_at_once_tells_each_list_a_few_times() {
-    // Each greets the three seeds, then all it was told of, and says how many it knows.
+fn a_simultaneous_start_of_all_daemons_sends_few_member_lists() {
+    // Each daemon greets the three seeds and all daemons that it knows, and reports their number.
     for count in [30, 100, 200, 360] {
         let mut known: Vec<BTreeSet<usize>> = (0..count).map(|own| BTreeSet::from([own])).collect();
         let mut lists = 0;
@@ -105,7 +112,7 @@
         let mut rounds = 0;
         while known.iter().any(|set| set.len() < count) {
             rounds += 1;
-            assert!(rounds < 20, "{count} daemons have not met");
+            assert!(rounds < 20, "{count} daemons do not all know each other");
             for own in 0..count {
                 let greeted: Vec<usize> = known[own].iter().copied().chain(0..3).collect();
                 for to in greeted {
@@ -113,8 +120,8 @@
                     draw = (draw * 997.0 + 0.123_456_7).fract();
                     if should_send_member_list(known[to].len(), known[own].len(), draw) {
                         lists += 1;
-                        let told = known[to].clone();
-                        known[own].extend(told);
+                        let list = known[to].clone();
+                        known[own].extend(list);
                     }
                 }
             }
@@ -124,7 +131,7 @@
 }
 
 #[test]
-fn heartbeats_cross_to_each_data_centre_once_and_by_another_relay_each_time() {
+fn heartbeats_reach_each_data_centre_by_one_relay_that_changes_each_round() {
     let own_centre = "centre-0".parse().unwrap();
     let mut relays = BTreeSet::new();
     for round in 0..20 {
@@ -138,9 +145,9 @@
 }
 
 #[test]
-fn a_daemon_that_knows_many_others_but_no_hub_is_told_of_the_hubs() {
+fn a_daemon_that_knows_many_daemons_but_no_hub_gets_the_list_of_hubs() {
     assert!(should_send_hub_list(6, 12, false));
     assert!(should_send_hub_list(6, 0, true), "a hub that has just started");
-    assert!(!should_send_hub_list(6, 6, true), "a hub that knows them all");
-    assert!(!should_send_hub_list(0, 0, false), "nothing to tell");
+    assert!(!should_send_hub_list(6, 6, true), "a hub that knows all hubs");
+    assert!(!should_send_hub_list(0, 0, false), "no hub is known");
 }
--- a/crates/gateway/src/peer_changes.rs
+++ b/crates/gateway/src/peer_changes.rs
@@ -1,22 +1,23 @@
-//! Changes of links and of other daemons, told in bounded lines.
+//! Aggregation of log lines about changes of links and of other daemons.
 //!
-//! A few daemons have a line for each change. In a large system a restart or a cut changes
-//! hundreds of links at once at every daemon, and nine lines of ten would say so: there a line tells
-//! how many changed since the one before, with a few names. Links to daemons that others depend on, the
-//! voters and the leader, have lines of their own in any case.
+//! A small system logs each change on a line of its own. In a large system, a restart or a network
+//! partition changes hundreds of links at once on every daemon, and such lines would be nine tenths
+//! of the log. There, one line reports how many changes there were since the last such line, with a
+//! few names. Changes of daemons that others depend on (the voters and the leader) always have
+//! lines of their own.
 
 use std::collections::BTreeMap;
 
 use oriolepass_units::InstanceId;
 
-/// From this many daemons on, changes are counted: each one of them changes as often as in a small
-/// system, and there are as many lines as a reader can follow.
-const COUNTED_FROM: usize = 24;
+/// The minimum number of known daemons for the aggregation of changes. Each daemon changes as often
+/// as in a small system, so smaller systems log few enough lines for a reader to follow.
+const MIN_AGGREGATED_DAEMONS: usize = 24;
 
-/// Names in one line.
-const NAMED: usize = 5;
+/// The maximum number of names in one line.
+const MAX_LISTED_PEERS: usize = 5;
 
-/// What happened to a daemon or the link to it.
+/// A change of a daemon or of the link to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum PeerChange {
     LinkUp,
@@ -40,35 +41,35 @@
     }
 }
 
-/// How often one kind of change happened, and to whom first.
+/// The number of changes of one kind, and the first daemons that they concern.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct ChangeCount {
     pub(crate) count: u64,
     pub(crate) names: Vec<InstanceId>,
 }
 
-/// The changes that no line has told yet.
+/// The changes that are not logged yet.
 #[derive(Debug, Default)]
 pub(crate) struct PeerChanges {
     counts: BTreeMap<PeerChange, ChangeCount>,
 }
 
 impl PeerChanges {
-    /// Returns whether changes are counted among so many daemons.
+    /// Returns whether changes are aggregated with this number of known daemons.
     pub(crate) fn are_aggregated(known: usize) -> bool {
-        known >= COUNTED_FROM
+        known >= MIN_AGGREGATED_DAEMONS
     }
 
     /// Counts a change.
     pub(crate) fn note(&mut self, change: PeerChange, peer: &InstanceId) {
         let entry = self.counts.entry(change).or_default();
         entry.count += 1;
-        if entry.names.len() < NAMED {
+        if entry.names.len() < MAX_LISTED_PEERS {
             entry.names.push(peer.clone());
         }
     }
 
-    /// Returns what was counted since the last time.
+    /// Returns the changes counted since the last call.
     pub(crate) fn take(&mut self) -> BTreeMap<PeerChange, ChangeCount> {
         std::mem::take(&mut self.counts)
     }
--- a/crates/gateway/src/peer_changes_tests.rs
+++ b/crates/gateway/src/peer_changes_tests.rs
@@ -1,4 +1,4 @@
-//! Lines about other daemons are bounded, and count every change.
+//! Tests of the aggregation of peer changes: log lines are bounded, and every change is counted.
 
 use oriolepass_units::InstanceId;
 
@@ -9,19 +9,19 @@
 }
 
 #[test]
-fn many_changes_are_one_count_with_a_few_names() {
+fn many_changes_are_aggregated_into_a_count_with_a_few_names() {
     let mut changes = PeerChanges::default();
     (0..199).for_each(|number| changes.note(PeerChange::LinkDown, &instance(number)));
     changes.note(PeerChange::Met, &instance(7));
-    let told = changes.take();
-    assert_eq!(told[&PeerChange::LinkDown].count, 199);
-    assert_eq!(told[&PeerChange::LinkDown].names.len(), 5);
-    assert_eq!(told[&PeerChange::Met].names, [instance(7)]);
-    assert!(changes.take().is_empty(), "each change is told once");
+    let reported = changes.take();
+    assert_eq!(reported[&PeerChange::LinkDown].count, 199);
+    assert_eq!(reported[&PeerChange::LinkDown].names.len(), 5);
+    assert_eq!(reported[&PeerChange::Met].names, [instance(7)]);
+    assert!(changes.take().is_empty(), "each change is reported once");
 }
 
 #[test]
-fn a_small_system_has_a_line_for_each_change() {
+fn a_small_system_logs_a_line_for_each_change() {
     assert!(!PeerChanges::are_aggregated(9));
     assert!(PeerChanges::are_aggregated(199));
 }
