--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -1,7 +1,8 @@
-//! The other daemons: who they are, what they say of themselves, when they were last heard.
+//! The roster of the other daemons: their own reports, and when each daemon was last heard from.
 //!
-//! A daemon starts with nothing but a few seeds. It greets them, they tell whom they know, and
-//! it greets those in turn. Greetings repeat, so that the roster heals by itself after a cut.
+//! A daemon starts with a few seeds only. It greets them, they answer with the daemons that they
+//! know, and it greets those daemons too. Greetings repeat, so the roster recovers by itself after
+//! a network partition.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,27 +11,28 @@
 use oriolepass_units::{DataCentreId, InstanceId, LeaderTerm, MonotonicTime};
 use serde::{Deserialize, Serialize};
 
-/// Between two greetings. Three may be lost before a daemon counts as silent.
+/// The interval between two greetings. A daemon counts as silent after three lost greetings.
 pub(crate) const GREETING_INTERVAL: Duration = Duration::from_millis(600);
 
-/// A daemon that has not been heard for this long is not named to callers.
+/// The time without a message after which a daemon counts as silent and is not offered to callers.
 pub(crate) const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_200);
 
-/// A daemon that has not been heard for this long is forgotten, unless it votes.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(90);
+/// The time without a message after which a daemon is removed from the roster, unless it is a voter
+/// or a seed.
+const EXPIRY_TIMEOUT: Duration = Duration::from_secs(90);
 
-/// Whether a daemon takes callers.
+/// Whether a daemon accepts callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum DaemonPhase {
-    /// It does not yet, or not for now.
+    /// Does not accept callers, or not at present.
     Unready,
-    /// It does.
+    /// Accepts callers.
     Ready,
-    /// It is about to end.
+    /// Is about to exit.
     Leaving,
 }
 
-/// What a replica of the log says of the system.
+/// The leader and the voters of the log as one of its replicas reports them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ReplicaNote {
     pub(crate) term: LeaderTerm,
@@ -38,30 +40,30 @@
     pub(crate) voters: Vec<InstanceId>,
 }
 
-/// What a daemon says of itself.
+/// A daemon's report of its own state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct DaemonNote {
     pub(crate) instance: InstanceId,
     pub(crate) name: InstanceId,
-    /// Drawn at the start of the process.
+    /// A random number drawn at the start of the process.
     pub(crate) boot: u64,
     pub(crate) data_centre: DataCentreId,
     pub(crate) callers: SocketAddr,
     pub(crate) phase: DaemonPhase,
     pub(crate) has_disk: bool,
-    /// Whether it waits with an empty disk for a new system to be founded.
+    /// Whether it has an empty disk and waits for the founding of a new system.
     pub(crate) may_found: bool,
-    /// Absent while it knows of no system.
+    /// Absent while the daemon knows no system.
     pub(crate) replica: Option<ReplicaNote>,
-    /// How many daemons it knows.
+    /// The number of daemons that it knows.
     pub(crate) known: u32,
     /// Whether it is a hub with tiers enabled.
     pub(crate) is_tiered: bool,
-    /// Grows with each change of what stands above.
+    /// Increases with each change of the fields above.
     pub(crate) edition: u32,
 }
 
-/// A leaf as its hub describes it to the other hubs.
+/// A leaf as its hub reports it to the other hubs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct LeafNote {
     pub(crate) instance: InstanceId,
@@ -87,18 +89,18 @@
 #[derive(Debug, Clone)]
 pub(crate) struct RosterEntry {
     pub(crate) note: Option<DaemonNote>,
-    pub(crate) heard: Option<MonotonicTime>,
+    pub(crate) last_heard: Option<MonotonicTime>,
     added: MonotonicTime,
 }
 
-/// What a greeting changed.
+/// The effect of a daemon's report on the roster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RosterChange {
-    /// The daemon had not been heard before, or has started again.
+    /// The daemon is new to the roster, or has restarted.
     Met,
-    /// It says something new of itself.
+    /// The phase or the replica of the daemon has changed.
     Changed,
-    /// It is alive.
+    /// The daemon is alive, with the same phase and replica.
     Refreshed,
 }
 
@@ -111,23 +113,23 @@
 }
 
 impl DaemonRoster {
-    /// Adds a daemon that somebody named; returns whether it is new.
+    /// Adds a daemon that a setting or another daemon named; returns whether it is new.
     pub(crate) fn add(&mut self, now: MonotonicTime, instance: &InstanceId) -> bool {
         if self.entries.contains_key(instance) {
             return false;
         }
-        let entry = RosterEntry { note: None, heard: None, added: now };
+        let entry = RosterEntry { note: None, last_heard: None, added: now };
         self.entries.insert(instance.clone(), entry);
         true
     }
 
-    /// Takes in what a daemon says of itself.
+    /// Records a daemon's report of its own state.
     pub(crate) fn update(&mut self, now: MonotonicTime, note: DaemonNote) -> RosterChange {
         self.add(now, &note.instance);
         let Some(entry) = self.entries.get_mut(&note.instance) else {
             return RosterChange::Refreshed;
         };
-        entry.heard = Some(now);
+        entry.last_heard = Some(now);
         let change = match &entry.note {
             Some(before) if before.boot != note.boot => RosterChange::Met,
             Some(before) if before.phase != note.phase || before.replica != note.replica => {
@@ -140,9 +142,10 @@
         change
     }
 
-    /// Notes that a daemon is alive and says what it said before; returns whether that is known
-    /// here. News that was lost on its way does not count: the daemon then looks silent until it
-    /// says everything again.
+    /// Records that a daemon is alive with an unchanged report; returns whether that is known here.
+    ///
+    /// If the report was lost in transit, nothing is recorded: the daemon looks silent until it
+    /// sends the whole report again.
     pub(crate) fn record_presence(
         &mut self,
         now: MonotonicTime,
@@ -151,43 +154,45 @@
         edition: u32,
     ) -> bool {
         let Some(entry) = self.entries.get_mut(instance) else { return false };
-        let said = |note: &DaemonNote| note.boot == boot && note.edition == edition;
-        let is_known = entry.note.as_ref().is_some_and(said);
+        let matches = |note: &DaemonNote| note.boot == boot && note.edition == edition;
+        let is_known = entry.note.as_ref().is_some_and(matches);
         if is_known {
-            entry.heard = Some(now);
+            entry.last_heard = Some(now);
         }
         is_known
     }
 
-    /// Notes that a daemon has ended.
+    /// Records that a daemon has exited.
     pub(crate) fn left(&mut self, instance: &InstanceId) {
         if let Some(entry) = self.entries.get_mut(instance) {
-            entry.heard = None;
+            entry.last_heard = None;
             if let Some(note) = &mut entry.note {
                 note.phase = DaemonPhase::Leaving;
             }
         }
     }
 
-    /// Forgets daemons that have been silent for long, unless `is_kept`.
+    /// Removes and returns the daemons that have been silent for longer than [`EXPIRY_TIMEOUT`],
+    /// unless `is_kept`.
     pub(crate) fn expire(
         &mut self,
         now: MonotonicTime,
         is_kept: impl Fn(&InstanceId) -> bool,
     ) -> Vec<InstanceId> {
-        let silent =
-            |entry: &RosterEntry| now.since(entry.heard.unwrap_or(entry.added)) > FORGOTTEN_AFTER;
-        let gone: Vec<InstanceId> = self
+        let silent = |entry: &RosterEntry| {
+            now.since(entry.last_heard.unwrap_or(entry.added)) > EXPIRY_TIMEOUT
+        };
+        let expired: Vec<InstanceId> = self
             .entries
             .iter()
             .filter(|(instance, entry)| silent(entry) && !is_kept(instance))
             .map(|(instance, _)| instance.clone())
             .collect();
-        for instance in &gone {
+        for instance in &expired {
             self.entries.remove(instance);
             self.attached_leaves.remove(instance);
         }
-        gone
+        expired
     }
 
     /// Updates the leaves attached to another hub; with `is_all`, replaces them.
@@ -206,10 +211,11 @@
         attached.extend(leaves.into_iter().map(|leaf| (leaf.instance.clone(), leaf)));
     }
 
-    /// Returns the daemons that this one hears, or that a hub heard here reports as attached.
+    /// Returns the live daemons: those heard from recently, and those that a live hub reports as
+    /// attached.
     pub(crate) fn all_alive(&self, now: MonotonicTime) -> BTreeMap<&InstanceId, LeafNote> {
-        let is_heard = |hub: &InstanceId| self.silence(now, hub) <= SILENCE_TIMEOUT;
-        let reported = self.attached_leaves.iter().filter(|(hub, _)| is_heard(hub));
+        let is_alive = |hub: &InstanceId| self.silence(now, hub) <= SILENCE_TIMEOUT;
+        let reported = self.attached_leaves.iter().filter(|(hub, _)| is_alive(hub));
         let mut alive: BTreeMap<&InstanceId, LeafNote> = reported
             .flat_map(|(_, leaves)| leaves.iter().map(|(leaf, note)| (leaf, note.clone())))
             .collect();
@@ -242,45 +248,45 @@
         note.is_some_and(|note| note.has_disk)
     }
 
-    /// Returns everyone known.
+    /// Returns all known daemons.
     pub(crate) fn known(&self) -> impl Iterator<Item = &InstanceId> {
         self.entries.keys()
     }
 
-    /// Returns how many are known.
+    /// Returns the number of known daemons.
     pub(crate) fn known_count(&self) -> usize {
         self.entries.len()
     }
 
-    /// Returns a daemon.
+    /// Returns the roster entry of a daemon.
     pub(crate) fn get(&self, instance: &InstanceId) -> Option<&RosterEntry> {
         self.entries.get(instance)
     }
 
-    /// Returns what those heard lately say of themselves.
+    /// Returns the reports of the daemons heard from within [`SILENCE_TIMEOUT`].
     pub(crate) fn alive(&self, now: MonotonicTime) -> impl Iterator<Item = &DaemonNote> {
         self.alive_within(now, SILENCE_TIMEOUT)
     }
 
-    /// Returns what those heard within a span say of themselves.
+    /// Returns the reports of the daemons heard from within `span`.
     pub(crate) fn alive_within(
         &self,
         now: MonotonicTime,
         span: Duration,
     ) -> impl Iterator<Item = &DaemonNote> {
-        let lately =
-            move |entry: &&RosterEntry| entry.heard.is_some_and(|at| now.since(at) <= span);
-        self.entries.values().filter(lately).filter_map(|entry| entry.note.as_ref())
+        let is_alive =
+            move |entry: &&RosterEntry| entry.last_heard.is_some_and(|at| now.since(at) <= span);
+        self.entries.values().filter(is_alive).filter_map(|entry| entry.note.as_ref())
     }
 
-    /// Returns how long a daemon has been silent.
+    /// Returns how long a daemon has been silent, or the maximum if it is not known.
     pub(crate) fn silence(&self, now: MonotonicTime, instance: &InstanceId) -> Duration {
         self.entries
             .get(instance)
-            .map_or(Duration::MAX, |entry| now.since(entry.heard.unwrap_or(entry.added)))
+            .map_or(Duration::MAX, |entry| now.since(entry.last_heard.unwrap_or(entry.added)))
     }
 
-    /// Returns the leader that the replicas heard lately believe in, by the highest term.
+    /// Returns the leader with the highest term among the reports of live replicas.
     pub(crate) fn leader(&self, now: MonotonicTime) -> Option<(LeaderTerm, InstanceId)> {
         self.alive(now)
             .filter_map(|note| note.replica.as_ref())
@@ -288,7 +294,7 @@
             .max_by_key(|(term, _)| *term)
     }
 
-    /// Returns the voters that the replicas heard lately know of, by the highest term.
+    /// Returns the voters from the report of the live replica with the highest term.
     pub(crate) fn voters(&self, now: MonotonicTime) -> Vec<InstanceId> {
         self.alive(now)
             .filter_map(|note| note.replica.as_ref())
--- a/crates/gateway/src/roster_tests.rs
+++ b/crates/gateway/src/roster_tests.rs
@@ -1,4 +1,4 @@
-//! What daemons know of each other from greetings.
+//! Tests of the roster: which greetings keep a daemon alive.
 
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_daemon_that_only_says_it_is_alive_keeps_its_place() {
+fn a_daemon_that_only_reports_its_presence_stays_alive() {
     let mut roster = DaemonRoster::default();
     assert_eq!(roster.update(at(0), note(DaemonPhase::Ready, 1)), RosterChange::Met);
     roster.record_presence(at(2_000), &instance(), 7, 1);
@@ -40,17 +40,18 @@
     assert_eq!(roster.alive(at(2_001) + SILENCE_TIMEOUT).count(), 0, "silent since");
 }
 
+// Guards against a lost report that stays unnoticed, such as that a daemon is leaving.
 #[test]
-fn news_that_was_lost_is_not_covered_up() {
+fn a_presence_report_with_an_unknown_edition_does_not_keep_a_daemon_alive() {
     let mut roster = DaemonRoster::default();
     roster.update(at(0), note(DaemonPhase::Ready, 1));
-    // What came with edition 2 was lost: it may be leaving.
+    // The report with edition 2 was lost; the daemon may be leaving.
     roster.record_presence(at(2_000), &instance(), 7, 2);
     assert_eq!(roster.alive(at(1) + SILENCE_TIMEOUT).count(), 0);
-    // Nor does another start of it speak for this one.
+    // A report of another start of the daemon does not keep this start alive either.
     roster.record_presence(at(2_100), &instance(), 8, 1);
     assert_eq!(roster.alive(at(1) + SILENCE_TIMEOUT).count(), 0);
     assert_eq!(roster.update(at(2_200), note(DaemonPhase::Leaving, 2)), RosterChange::Changed);
     roster.record_presence(at(2_300), &"10.1.0.3:7000".parse().unwrap(), 7, 1);
-    assert_eq!(roster.known_count(), 1, "nobody is met without saying who it is");
+    assert_eq!(roster.known_count(), 1, "a presence report without a known note adds no daemon");
 }
