--- a/crates/gateway/src/hubs.rs
+++ b/crates/gateway/src/hubs.rs
@@ -1,8 +1,8 @@
-//! The messages between hubs and leaves, and the targets of news in tiers.
+//! The messages between hubs and leaves, and the recipients of broadcasts in tiers.
 //!
 //! [`crate::tiers`] describes the topology. A leaf gets its proof from its primary hub. The hub's
 //! proof shows which document was the newest some time ago, so the leaf dates its own proof to the
-//! time of its question minus the age of the hub's proof.
+//! time of its request minus the age of the hub's proof.
 
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -21,35 +21,35 @@
 use crate::roster::LeafNote;
 use crate::tiers::{AddressRing, HubSelector, is_tiered};
 
-/// How long a hub has to answer a leaf before another one is asked.
-const HUB_PATIENCE: Duration = Duration::from_millis(300);
+/// How long a leaf waits for its primary hub's answer before it uses another hub.
+const HUB_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long a hub has to answer a `RepeatAsk`; the caller's request waits meanwhile.
-const GRANT_PATIENCE: Duration = Duration::from_millis(100);
+/// How long a leaf waits for the answer to a `RepeatAsk`. The caller's request waits meanwhile.
+const REPEAT_GRANT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A hub with an older proof counts as failed.
+/// The maximum age of a hub's proof. A leaf treats a hub with an older proof as failed.
 const MAX_HUB_PROOF_AGE: Duration = Duration::from_millis(1_500);
 
-/// A hub drops a leaf that has not asked for this long.
+/// How long a hub keeps the session of a leaf without a request from the leaf.
 const LEAF_SESSION_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// How long the views of a leaf and its hub may differ before the hub sends the whole view; news in
-/// transit makes them differ for a short time.
+/// How long the views of a leaf and its hub may differ before the hub sends the whole view. They
+/// differ for a short time while changes are in transit.
 const VIEW_MISMATCH_GRACE: Duration = Duration::from_secs(2);
 
 /// The minimum interval between two whole views for one leaf.
 const VIEW_RESEND_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Missed heartbeats after which an endpoint is reported to leaves as silent.
+/// The number of missed heartbeats after which an endpoint is reported to leaves as silent.
 const MISSED_HEARTBEATS: u32 = 2;
 
-/// The most silent endpoints in one answer to a leaf.
+/// The maximum number of silent endpoints in one answer to a leaf.
 const MAX_REPORTED_SILENT: usize = 256;
 
-/// The most addresses of its own data centre that a leaf gets.
+/// The maximum number of addresses of its own data centre that a leaf gets.
 const MAX_NEAR_ADDRESSES: usize = 64;
 
-/// The most addresses of each other data centre that a leaf gets.
+/// The maximum number of addresses of each other data centre that a leaf gets.
 const MAX_FAR_ADDRESSES: usize = 4;
 
 /// How long a leaf uses a hub's last status of endpoints and addresses while no hub answers.
@@ -61,8 +61,8 @@
 /// A hub reports all its leaves to the other hubs once in this many rounds, and changes each round.
 const FULL_REPORT_DIVISOR: u64 = 16;
 
-/// The most recently left endpoints in one endpoint view.
-const TOLD_LEAVERS: usize = 256;
+/// The maximum number of recently departed endpoints in one endpoint view.
+const MAX_VIEW_DEPARTURES: usize = 256;
 
 /// A daemon's role in the topology.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -75,10 +75,10 @@
     Leaf,
 }
 
-/// A leaf that has this hub as its primary.
+/// The state that a hub keeps of a leaf whose primary it is.
 #[derive(Debug)]
 struct LeafSession {
-    last_asked: MonotonicTime,
+    last_request: MonotonicTime,
     differs_since: Option<MonotonicTime>,
     /// When the whole endpoint view was last sent to it.
     view_sent: MonotonicTime,
@@ -110,7 +110,7 @@
     /// The lists and the daemon count from the primary hub's last status.
     lists: MemberLists,
     daemons: usize,
-    /// When the last status was asked for.
+    /// When the last status was requested.
     status_at: Option<MonotonicTime>,
 }
 
@@ -138,7 +138,7 @@
         self.tier.borrow().hubs.attached(self.now(), &self.own, &settings.data_centre)
     }
 
-    /// Returns the recipients of news that originates here.
+    /// Returns the recipients of broadcasts that originate at this daemon.
     pub(crate) fn broadcast_targets(&self) -> Vec<InstanceId> {
         match self.tier() {
             Tier::Mesh => self.roster.borrow().known().cloned().collect(),
@@ -147,10 +147,10 @@
         }
     }
 
-    /// Returns the daemons to forward news from another daemon to.
+    /// Returns the daemons to forward a broadcast of another daemon to.
     pub(crate) fn forward_targets(&self, from: &InstanceId) -> Vec<InstanceId> {
         match self.tier() {
-            // The leader forwards news to daemons that are cut off from its sender.
+            // The leader forwards broadcasts to daemons that the sender cannot reach.
             Tier::Mesh if self.is_leader() => self.broadcast_targets(),
             Tier::Mesh | Tier::Leaf => Vec::new(),
             Tier::Hub if self.roster.borrow().is_hub(from) => self.own_leaves(),
@@ -168,7 +168,8 @@
     pub(crate) fn own_leaves(&self) -> Vec<InstanceId> {
         let now = self.now();
         let tier = self.tier.borrow();
-        let is_live = |session: &LeafSession| now.since(session.last_asked) < LEAF_SESSION_TIMEOUT;
+        let is_live =
+            |session: &LeafSession| now.since(session.last_request) < LEAF_SESSION_TIMEOUT;
         tier.sessions
             .iter()
             .filter(|(_, session)| is_live(session))
@@ -223,7 +224,7 @@
         let summary = self.hub_summary(now, daemons);
         let mut tier = self.tier.borrow_mut();
         tier.summary = summary;
-        tier.sessions.retain(|_, session| now.since(session.last_asked) < LEAF_SESSION_TIMEOUT);
+        tier.sessions.retain(|_, session| now.since(session.last_request) < LEAF_SESSION_TIMEOUT);
     }
 
     /// Reports the leaves attached here to the other hubs: all of them, or the changes.
@@ -329,17 +330,17 @@
         }
     }
 
-    /// Records a question from a leaf and returns whether to send it the whole view.
+    /// Records a request from a leaf; returns whether to send the leaf the whole view.
     fn needs_endpoint_view(&self, leaf: &InstanceId, leaf_hash: u64) -> bool {
         let now = self.now();
         let is_same = self.endpoints.borrow().view_hash() == leaf_hash;
         let mut tier = self.tier.borrow_mut();
         let Some(session) = tier.sessions.get_mut(leaf) else {
-            let session = LeafSession { last_asked: now, differs_since: None, view_sent: now };
+            let session = LeafSession { last_request: now, differs_since: None, view_sent: now };
             tier.sessions.insert(leaf.clone(), session);
             return !is_same;
         };
-        session.last_asked = now;
+        session.last_request = now;
         if is_same {
             session.differs_since = None;
             return false;
@@ -358,7 +359,10 @@
         let now = self.now();
         let (notices, left) = {
             let endpoints = self.endpoints.borrow();
-            (endpoints.all_notices(now), endpoints.leavers(TOLD_LEAVERS, MonotonicTime::ZERO))
+            (
+                endpoints.all_notices(now),
+                endpoints.leavers(MAX_VIEW_DEPARTURES, MonotonicTime::ZERO),
+            )
         };
         self.mesh.send(leaf, &PeerMessage::EndpointView { notices, left });
         for message in self.all_cases() {
@@ -412,24 +416,24 @@
     pub(crate) async fn prove_by_hub(&self) -> bool {
         let Some(hub) = self.attached_hubs().into_iter().next() else { return false };
         self.record_primary(&hub);
-        let asked = self.now();
+        let requested_at = self.now();
         let state = LeafState {
             document: self.held_revision(),
             endpoints_hash: self.endpoints.borrow().view_hash(),
             lists_hash: lists_hash(&self.tier.borrow().lists),
         };
-        let question = |token| PeerMessage::LeafAsk { token, state };
-        let Some(PeerReply::Hub(status)) = self.call(&hub, HUB_PATIENCE, question).await else {
-            self.tier.borrow_mut().hubs.note_failure(self.now(), &hub);
+        let request = |token| PeerMessage::LeafAsk { token, state };
+        let Some(PeerReply::Hub(status)) = self.call(&hub, HUB_TIMEOUT, request).await else {
+            self.tier.borrow_mut().hubs.record_failure(self.now(), &hub);
             return false;
         };
-        // A missing proof is no failure of the hub: without a leader or a document, no hub has one.
+        // A missing proof is no failure of the hub: hubs have none without a leader or a document.
         let is_stale = status.proof.is_some_and(|(_, age)| age >= MAX_HUB_PROOF_AGE);
         if is_stale {
-            self.tier.borrow_mut().hubs.note_failure(self.now(), &hub);
+            self.tier.borrow_mut().hubs.record_failure(self.now(), &hub);
         }
         let is_proved = status.proof.is_some() && !is_stale;
-        self.apply_hub_status(asked, status);
+        self.apply_hub_status(requested_at, status);
         is_proved
     }
 
@@ -445,12 +449,12 @@
         }
     }
 
-    fn apply_hub_status(&self, asked: MonotonicTime, status: HubStatus) {
+    fn apply_hub_status(&self, requested_at: MonotonicTime, status: HubStatus) {
         let HubStatus { proof, drains, is_home_away, daemons, silent, lists } = status;
         self.adopt_drains(&drains);
         {
             let mut tier = self.tier.borrow_mut();
-            tier.status_at = Some(asked);
+            tier.status_at = Some(requested_at);
             tier.daemons = usize::try_from(daemons).unwrap_or(usize::MAX);
             if let Some(lists) = lists {
                 tier.hubs.update(&lists.hubs);
@@ -458,14 +462,14 @@
             }
         }
         let heartbeat = self.settings().bounds.endpoint_heartbeat;
-        self.endpoints.borrow_mut().update_heard(asked, &silent, heartbeat);
+        self.endpoints.borrow_mut().update_heard(requested_at, &silent, heartbeat);
         if is_home_away {
             self.home_missed();
         } else {
             self.home_answered();
         }
         if let Some((newest, age)) = proof {
-            self.prove_newest(asked - age, newest);
+            self.prove_newest(requested_at - age, newest);
         }
     }
 
@@ -481,8 +485,9 @@
         }
     }
 
-    /// Takes one repeated send to a service out of the budget; returns whether there was one. A leaf
-    /// asks its primary hub when the ratio of its own requests is used up.
+    /// Takes one repeated send to a service from the budget; returns whether the budget allows it.
+    ///
+    /// A leaf requests it from its primary hub when the share from its own requests is used up.
     pub(crate) async fn take_repeated_send(&self, service: &ServiceName) -> bool {
         let (now, rule) = (self.now(), self.budget_rule());
         match self.tier() {
@@ -499,11 +504,14 @@
             Tier::Leaf => {}
         }
         let Some(hub) = self.attached_hubs().into_iter().next() else { return false };
-        let question = |token| PeerMessage::RepeatAsk { token, service: service.clone() };
-        matches!(self.call(&hub, GRANT_PATIENCE, question).await, Some(PeerReply::Repeat(true)))
+        let request = |token| PeerMessage::RepeatAsk { token, service: service.clone() };
+        matches!(
+            self.call(&hub, REPEAT_GRANT_TIMEOUT, request).await,
+            Some(PeerReply::Repeat(true))
+        )
     }
 
-    /// Takes one repeated send out of this hub's part of the budget; returns whether there was one.
+    /// Takes one repeated send from this hub's part of the budget; returns whether there was one.
     pub(crate) fn grant_repeat(&self, service: &ServiceName) -> bool {
         if self.tier() != Tier::Hub {
             return false;
@@ -533,8 +541,10 @@
         if is_recent { tier.lists.addresses.clone() } else { Vec::new() }
     }
 
-    /// Returns the control address of the hub that an endpoint should send its heartbeats to, if
-    /// not here, so that a leaf need not forward them.
+    /// Returns the control address of the hub that an endpoint should send its heartbeats to, or
+    /// `None` if it should send them to this daemon.
+    ///
+    /// On a leaf, this spares forwarding the heartbeats.
     pub fn heartbeat_address(&self, beat: &EndpointBeat) -> Option<SocketAddr> {
         if self.tier() != Tier::Leaf {
             return None;
--- a/crates/gateway/src/tiers.rs
+++ b/crates/gateway/src/tiers.rs
@@ -1,14 +1,14 @@
 //! The choice of hubs for leaves and endpoints, and of addresses for callers.
 //!
-//! In a small system each daemon has a link to every other one. From `tiers_from` daemons on, those
-//! with a disk are *hubs* and all others are *leaves*, so that control traffic per instance stays
-//! flat as instances are added. Hubs have links to each other. A leaf is attached to
-//! [`HUBS_PER_LEAF`] hubs: its primary answers its questions for proof and sends it changes; the
-//! others know that it is alive.
-//! A change is sent from hub to hub once, and each hub forwards it to its leaves.
+//! In a small system, each daemon has a link to every other daemon (a mesh). From `tiers_from`
+//! daemons on, daemons with a disk are *hubs* and all others are *leaves*, so control traffic per
+//! instance does not grow with the number of instances. Hubs have links to each other. A leaf is
+//! attached to [`HUBS_PER_LEAF`] hubs: its primary hub answers its proof requests and sends it
+//! changes; the others only track that the leaf is alive. A change is sent from hub to hub once,
+//! and each hub forwards it to its leaves.
 //!
-//! This needs no agreement: any hub can answer any leaf, so a leaf changes to another hub when one
-//! does not answer.
+//! The daemons need no agreement on this: any hub can answer any leaf, so a leaf changes to another
+//! hub when its primary does not answer.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,16 +18,17 @@
 
 use crate::gossip::rank;
 
-/// The ratio of `tiers_from` below which a system in tiers returns to a mesh; prevents flapping.
+/// The share of `tiers_from` below which a system in tiers returns to a mesh; prevents flapping.
 const MESH_RETURN_RATIO: f64 = 0.75;
 
-/// Hubs that a leaf is attached to, so that the loss of one does not make the leaf look dead.
+/// The number of hubs that a leaf is attached to. With two, the loss of one hub does not make the
+/// leaf look dead.
 const HUBS_PER_LEAF: usize = 2;
 
 /// How long a leaf avoids a hub that failed to answer.
 const HUB_RETRY_DELAY: Duration = Duration::from_secs(3);
 
-/// Returns whether a system of `daemons` runs in tiers, with hysteresis by `was_tiered`.
+/// Returns whether a system of `daemons` daemons runs in tiers, with hysteresis by `was_tiered`.
 pub(crate) fn is_tiered(was_tiered: bool, daemons: usize, tiers_from: usize) -> bool {
     let threshold =
         if was_tiered { tiers_from as f64 * MESH_RETURN_RATIO } else { tiers_from as f64 };
@@ -53,14 +54,14 @@
         self.hubs.entry(hub.clone()).or_insert_with(entry);
     }
 
-    /// Keeps only the live hubs and adds new ones.
+    /// Removes the hubs that are not in `alive`, and adds new ones.
     pub(crate) fn update(&mut self, alive: &[(InstanceId, DataCentreId)]) {
         self.hubs.retain(|hub, _| alive.iter().any(|(other, _)| other == hub));
         alive.iter().for_each(|(hub, data_centre)| self.add(hub, data_centre));
     }
 
     /// Records that a hub did not answer or had no recent proof.
-    pub(crate) fn note_failure(&mut self, now: MonotonicTime, hub: &InstanceId) {
+    pub(crate) fn record_failure(&mut self, now: MonotonicTime, hub: &InstanceId) {
         if let Some(entry) = self.hubs.get_mut(hub) {
             entry.retry_at = now + HUB_RETRY_DELAY;
         }
@@ -86,8 +87,8 @@
 
     /// Returns the hubs that a leaf is attached to, the primary first.
     ///
-    /// Prefers hubs that have not failed recently, then those of its own data centre. The rank
-    /// spreads leaves evenly over the hubs.
+    /// Hubs that have not failed recently take precedence, then hubs of the leaf's own data centre.
+    /// The rank spreads leaves evenly over the hubs.
     pub(crate) fn attached(
         &self,
         now: MonotonicTime,
@@ -105,8 +106,8 @@
 
 /// The ready instances of a data centre on a hash ring.
 ///
-/// Each instance returns the addresses that follow its own position, so all are returned about
-/// equally often, and adding or removing an instance changes at most one address of each list.
+/// Each instance returns the addresses that follow its own position, so all addresses are returned
+/// about equally often. Adding or removing an instance changes at most one address of each list.
 #[derive(Debug, Default)]
 pub(crate) struct AddressRing {
     entries: Vec<(u64, InstanceId, SocketAddr)>,
--- a/crates/gateway/src/tiers_tests.rs
+++ b/crates/gateway/src/tiers_tests.rs
@@ -31,7 +31,7 @@
     selector
 }
 
-// Guards against flapping around the threshold.
+// Guards against a topology that flaps while the number of daemons varies around the threshold.
 #[test]
 fn tiers_start_and_end_at_different_sizes() {
     assert!(!is_tiered(false, 30, 48));
@@ -72,11 +72,11 @@
     let mut selector = selector(&hubs);
     let (leaf, own) = (instance(1), centre(1));
     let first = selector.attached(NOW, &leaf, &own)[0].clone();
-    selector.note_failure(NOW, &first);
+    selector.record_failure(NOW, &first);
     let attached = selector.attached(NOW, &leaf, &own);
     assert!(!attached.contains(&first), "{attached:?}");
-    // With all hubs of its data centre failed, the leaf uses those of others.
-    selector.note_failure(NOW, &attached[0]);
+    // When all hubs of its data centre have failed, the leaf uses hubs of other data centres.
+    selector.record_failure(NOW, &attached[0]);
     let elsewhere = selector.attached(NOW, &leaf, &own);
     assert!(elsewhere.iter().all(|hub| !hubs.contains(&(hub.clone(), own.clone()))));
     let later = NOW + Duration::from_secs(4);
@@ -87,7 +87,7 @@
 fn a_leaf_keeps_its_hubs_when_all_have_failed() {
     let hubs = hubs(3, 3);
     let mut selector = selector(&hubs);
-    hubs.iter().for_each(|(hub, _)| selector.note_failure(NOW, hub));
+    hubs.iter().for_each(|(hub, _)| selector.record_failure(NOW, hub));
     assert_eq!(selector.attached(NOW, &instance(1), &centre(1)).len(), 2);
 }
 
@@ -104,8 +104,8 @@
 fn instances_are_returned_to_callers_about_equally_often() {
     let ring = ring(0..200);
     let mut returned: BTreeMap<SocketAddr, usize> = BTreeMap::new();
-    for asked in 0..200 {
-        for address in ring.addresses_for(&instance(asked), 64) {
+    for queried in 0..200 {
+        for address in ring.addresses_for(&instance(queried), 64) {
             *returned.entry(address).or_default() += 1;
         }
     }
@@ -117,11 +117,11 @@
 #[test]
 fn removing_an_instance_changes_at_most_one_returned_address() {
     let (before, after) = (ring(0..200), ring((0..200).filter(|number| *number != 77)));
-    for asked in (0..200).filter(|number| *number != 77) {
-        let addresses = before.addresses_for(&instance(asked), 64);
-        let kept = after.addresses_for(&instance(asked), 64);
+    for queried in (0..200).filter(|number| *number != 77) {
+        let addresses = before.addresses_for(&instance(queried), 64);
+        let kept = after.addresses_for(&instance(queried), 64);
         let gone = addresses.iter().filter(|address| !kept.contains(address)).count();
-        assert!(gone <= 1, "{gone} addresses of instance {asked} changed");
+        assert!(gone <= 1, "{gone} addresses of instance {queried} changed");
     }
 }
 
