--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -96,7 +96,7 @@
 /// The effect of a daemon's report on the roster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RosterChange {
-    /// The daemon is new to the roster, or has restarted.
+    /// The report is the first from the daemon, or the first since its restart.
     Met,
     /// The phase or the replica of the daemon has changed.
     Changed,
