--- a/crates/gateway/src/cluster.rs
+++ b/crates/gateway/src/cluster.rs
@@ -15,13 +15,13 @@
 
 use crate::events::EventKind;
 use crate::gateway::{Gateway, PeerReply};
-use crate::gossip::{is_sponsor, tells_hubs, tells_whom_it_knows};
+use crate::gossip::{is_sponsor, should_send_hub_list, should_send_member_list};
 use crate::hubs::Tier;
 use crate::lifecycle::Lifecycle;
 use crate::peer_changes::{ChangeCount, PeerChange, PeerChanges};
 use crate::peers::{MeshEvents, PeerMessage, TrafficCount};
 use crate::replica::{Proposer, ReplicaDriver};
-use crate::roster::{DaemonNote, DaemonPhase, GREET_EVERY, ReplicaNote, RosterChange};
+use crate::roster::{DaemonNote, DaemonPhase, GREETING_INTERVAL, ReplicaNote, RosterChange};
 
 /// A silent daemon is greeted only once in this many rounds.
 const SILENT_GREETING_DIVISOR: u64 = 5;
@@ -54,7 +54,7 @@
                 self.log_traffic();
             }
             round += 1;
-            sleep(GREET_EVERY).await;
+            sleep(GREETING_INTERVAL).await;
         }
     }
 
@@ -88,7 +88,7 @@
                 roster.expire(now, |daemon| seeds.contains(daemon) || voters.contains(daemon));
             let is_due = |daemon: &&InstanceId| {
                 round.is_multiple_of(SILENT_GREETING_DIVISOR)
-                    || roster.silence(now, daemon) < crate::roster::SILENT_AFTER
+                    || roster.silence(now, daemon) < crate::roster::SILENCE_TIMEOUT
                     || round < SILENT_GREETING_DIVISOR
             };
             let is_in_tier_scope = |daemon: &&InstanceId| match tier {
@@ -97,7 +97,7 @@
                     roster.is_hub(daemon)
                         || seeds.contains(daemon)
                         || voters.contains(daemon)
-                        || roster.silence(now, daemon) < crate::roster::SILENT_AFTER
+                        || roster.silence(now, daemon) < crate::roster::SILENCE_TIMEOUT
                 }
                 // With no hub known, any daemon may report one.
                 Tier::Leaf => attached.contains(daemon) || attached.is_empty(),
@@ -124,7 +124,7 @@
         let is_dependency =
             self.leader_instance().as_ref() == Some(peer) || self.own_voters().contains(peer);
         let known = self.roster.borrow().known_count();
-        let is_counted = !is_dependency && PeerChanges::are_counted(known);
+        let is_counted = !is_dependency && PeerChanges::are_aggregated(known);
         if is_counted {
             self.peer_changes.borrow_mut().note(change, peer);
         }
@@ -251,12 +251,13 @@
         let (change, more, is_new) = {
             let mut roster = self.roster.borrow_mut();
             let is_new = roster.get(from).is_none();
-            let change = roster.take(now, note);
+            let change = roster.update(now, note);
             let known = usize::try_from(known).unwrap_or(usize::MAX);
             let list = match hubs {
-                Some(hubs) => tells_hubs(hubs.len(), known, has_disk).then_some(hubs),
+                Some(hubs) => should_send_hub_list(hubs.len(), known, has_disk).then_some(hubs),
                 None => {
-                    let tells = tells_whom_it_knows(roster.known_count(), known, rand::random());
+                    let tells =
+                        should_send_member_list(roster.known_count(), known, rand::random());
                     tells.then(|| roster.known().cloned().collect::<Vec<InstanceId>>())
                 }
             };
@@ -381,7 +382,7 @@
         self.metrics.is_leader.set(i64::from(self.is_leader()));
         self.leader_changed.notify_waiters();
         if next.is_some() {
-            self.home.borrow_mut().watch.answered();
+            self.home.borrow_mut().watch.record_answer();
         }
         self.on_new_home();
     }
@@ -401,7 +402,8 @@
             PeerMessage::Greeting(note) => gateway.on_greeting(from, note),
             PeerMessage::Present { boot, edition } => {
                 let now = gateway.now();
-                let is_known = gateway.roster.borrow_mut().is_present(now, from, boot, edition);
+                let is_known =
+                    gateway.roster.borrow_mut().record_presence(now, from, boot, edition);
                 if !is_known {
                     gateway.mesh.send(from, &PeerMessage::GreetingAsk);
                 }
--- a/crates/gateway/src/documents.rs
+++ b/crates/gateway/src/documents.rs
@@ -18,7 +18,7 @@
 
 use crate::events::EventKind;
 use crate::gateway::{Gateway, PeerReply};
-use crate::gossip::{DocumentSpread, RelayGroup, relay_groups};
+use crate::gossip::{DocumentDissemination, RelayGroup, relay_groups};
 use crate::home::HOME_ANSWER_TIMEOUT;
 use crate::hubs::Tier;
 use crate::peers::{DocumentVerdict, DrainVerdict, FreshVerdict, PeerMessage};
@@ -105,7 +105,7 @@
     /// The revisions that the other daemons have in force, as reported to the leader.
     in_force: BTreeMap<InstanceId, RoutingRevision>,
     /// The copies that this daemon has sent as the leader.
-    spread: DocumentSpread,
+    spread: DocumentDissemination,
 }
 
 impl DocumentState {
@@ -503,7 +503,7 @@
                     documents.in_force.get(instance).is_some_and(|held| *held >= revision)
                 };
                 let roster = self.roster.borrow();
-                let near = roster.heard_within(self.now(), CONFIRMATION_MAX_SILENCE);
+                let near = roster.alive_within(self.now(), CONFIRMATION_MAX_SILENCE);
                 let mut confirming = near.filter(|note| !is_hub || note.has_disk);
                 confirming.all(|note| has(&note.instance))
             };
--- a/crates/gateway/src/home.rs
+++ b/crates/gateway/src/home.rs
@@ -186,15 +186,15 @@
     /// Records that the home did not answer in time, and sends the running prompts to its deputies.
     pub(crate) fn on_home_timeout(&self) {
         let deputies = self.deputies();
-        let new_deputies = self.home.borrow_mut().watch.missed(self.now(), deputies);
+        let new_deputies = self.home.borrow_mut().watch.record_timeout(self.now(), deputies);
         for deputy in new_deputies.iter().filter(|deputy| **deputy != self.own) {
             self.send_own_prompts(deputy);
         }
     }
 
-    /// Records that the home answered in time. If the home was away before, sends it the running prompts.
+    /// Records that the home record_answer in time. If the home was away before, sends it the running prompts.
     pub(crate) fn on_home_answer(&self) {
-        if self.home.borrow_mut().watch.answered() {
+        if self.home.borrow_mut().watch.record_answer() {
             self.on_new_home();
         }
     }
@@ -261,7 +261,7 @@
         let leader = self.leader_instance().filter(|leader| *leader != self.own);
         let to: Vec<InstanceId> = {
             let home = self.home.borrow();
-            let informed = home.watch.told_now(self.now()).iter();
+            let informed = home.watch.notified_deputies(self.now()).iter();
             informed
                 .filter(|deputy| Some(*deputy) != leader.as_ref())
                 .chain(&leader)
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -259,7 +259,7 @@
     }
 
     fn broadcast_cases(&self, news: &[CaseNews]) {
-        let to = self.news_targets();
+        let to = self.broadcast_targets();
         for message in case_messages(news) {
             self.mesh.send_all(&to, &message);
         }
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -95,12 +95,12 @@
         *gateway.replica.borrow_mut() = Some(replica);
         spawn_local(Rc::clone(&gateway).run_replica(to_loop));
         spawn_local(Rc::clone(&gateway).maintain_voters());
-        spawn_local(Rc::clone(&gateway).keep_updating_leaves());
+        spawn_local(Rc::clone(&gateway).send_queued_leaf_changes());
         spawn_local(Rc::clone(&gateway).persist_quarantine(folder));
     }
     spawn_local(Rc::clone(&gateway).send_greetings_periodically());
     spawn_local(Rc::clone(&gateway).refresh_proof_periodically());
-    spawn_local(Rc::clone(&gateway).keep_passing_on());
+    spawn_local(Rc::clone(&gateway).forward_heartbeats_periodically());
     spawn_local(Rc::clone(&gateway).maintain_quarantine());
     spawn_local(serve_callers(Rc::clone(&gateway), callers));
     serve_operators(&gateway, listen_at.metrics);
