--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -5,7 +5,7 @@
 
 use oriolepass_consensus::Envelope;
 use oriolepass_placement::{EngineCell, PromptAsk, PromptKey, PromptPlan, SpareLack};
-use oriolepass_quarantine::CaseNews;
+use oriolepass_quarantine::CaseUpdate;
 use oriolepass_routing::{
     DrainCommand, DrainOutcome, DrainRegister, RegisterOutcome, RoutingRevision, RoutingText,
 };
@@ -159,7 +159,7 @@
     /// What the sender's callers still have under way, for a new home.
     Placed(Vec<PlacedPrompt>),
     /// Requests under which endpoints ended.
-    Cases(Vec<CaseNews>),
+    Cases(Vec<CaseUpdate>),
     /// Does the receiver know the same of such requests? If not, it says what it knows.
     CaseHash { hash: u64, is_answer: bool },
     /// Asks the leader to append this command to the log.
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use oriolepass_quarantine::{CaseNews, CaseSummary, QuarantineTable, RequestDigest, Standing};
+use oriolepass_quarantine::{CaseSummary, CaseUpdate, QuarantineTable, RequestDigest, Standing};
 use oriolepass_units::{EndpointStart, InstanceId, MonotonicTime};
 use rand::seq::IteratorRandom;
 use tokio::time::sleep;
@@ -114,9 +114,9 @@
     }
 
     /// Takes in what another daemon knows.
-    pub(crate) fn on_case_news(&self, from: &InstanceId, news: &[CaseNews]) {
+    pub(crate) fn on_case_news(&self, from: &InstanceId, news: &[CaseUpdate]) {
         let now = self.case_time();
-        let fresh: Vec<CaseNews> = {
+        let fresh: Vec<CaseUpdate> = {
             let table = &mut self.quarantine.borrow_mut().table;
             news.iter().filter(|case| table.merge(now, case)).cloned().collect()
         };
@@ -193,7 +193,7 @@
         }
     }
 
-    fn quarantine_changed(&self, news: Option<CaseNews>) {
+    fn quarantine_changed(&self, news: Option<CaseUpdate>) {
         if let Some(news) = news {
             self.tell_cases(&[news]);
             self.quarantine_judged(None);
@@ -253,7 +253,7 @@
         }
     }
 
-    fn tell_cases(&self, news: &[CaseNews]) {
+    fn tell_cases(&self, news: &[CaseUpdate]) {
         let to = self.news_targets();
         for message in in_messages(news) {
             self.mesh.send_all(&to, &message);
@@ -276,6 +276,6 @@
     }
 }
 
-fn in_messages(news: &[CaseNews]) -> Vec<PeerMessage> {
+fn in_messages(news: &[CaseUpdate]) -> Vec<PeerMessage> {
     news.chunks(CASES_A_MESSAGE).map(|cases| PeerMessage::Cases(cases.to_vec())).collect()
 }
--- a/crates/gateway/src/quarantine_disk.rs
+++ b/crates/gateway/src/quarantine_disk.rs
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 
-use oriolepass_quarantine::CaseNews;
+use oriolepass_quarantine::CaseUpdate;
 use tokio::sync::oneshot;
 
 /// The file's name in the data folder.
@@ -25,7 +25,7 @@
 
 /// The thread that keeps quarantined requests on a disk.
 pub(crate) struct QuarantineDisk {
-    changes: SyncSender<Vec<CaseNews>>,
+    changes: SyncSender<Vec<CaseUpdate>>,
 }
 
 impl QuarantineDisk {
@@ -34,7 +34,7 @@
     /// # Errors
     ///
     /// Returns the operating system's error when the thread cannot be started.
-    pub(crate) fn start(folder: PathBuf) -> io::Result<(Self, oneshot::Receiver<Vec<CaseNews>>)> {
+    pub(crate) fn start(folder: PathBuf) -> io::Result<(Self, oneshot::Receiver<Vec<CaseUpdate>>)> {
         let (changes, to_write) = sync_channel(WAITING_CHANGES);
         let (report, loaded) = oneshot::channel();
         std::thread::Builder::new().name("quarantine".into()).spawn(move || {
@@ -46,19 +46,19 @@
     }
 
     /// Keeps these requests and no others. Never waits.
-    pub(crate) fn keep(&self, cases: Vec<CaseNews>) {
+    pub(crate) fn keep(&self, cases: Vec<CaseUpdate>) {
         // A full ring: the disk is slow, and the next change says all that this one does.
         let _ = self.changes.try_send(cases);
     }
 }
 
 /// Reads what an earlier process kept; nothing where there is none, or it cannot be read.
-fn read(folder: &Path) -> Vec<CaseNews> {
+fn read(folder: &Path) -> Vec<CaseUpdate> {
     let bytes = fs::read(folder.join(FILE)).unwrap_or_default();
     postcard::from_bytes(&bytes).unwrap_or_default()
 }
 
-fn write_changes(folder: &Path, changes: &Receiver<Vec<CaseNews>>) {
+fn write_changes(folder: &Path, changes: &Receiver<Vec<CaseUpdate>>) {
     while let Ok(mut newest) = changes.recv() {
         while let Ok(next) = changes.try_recv() {
             newest = next;
@@ -68,7 +68,7 @@
     }
 }
 
-fn write(folder: &Path, cases: &[CaseNews]) -> io::Result<()> {
+fn write(folder: &Path, cases: &[CaseUpdate]) -> io::Result<()> {
     let bytes = postcard::to_stdvec(cases).map_err(io::Error::other)?;
     fs::create_dir_all(folder)?;
     let mut draft = File::create(folder.join(DRAFT))?;
--- a/crates/quarantine/src/case.rs
+++ b/crates/quarantine/src/case.rs
@@ -46,7 +46,7 @@
 
 /// An endpoint that ended under a request, as one instance tells another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndNews {
+pub struct EndUpdate {
     /// The start that ended.
     pub endpoint: EndpointStart,
     /// How long ago that was seen first.
@@ -55,11 +55,11 @@
 
 /// What one instance tells another of a request. May come in any order, twice, and late.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CaseNews {
+pub struct CaseUpdate {
     /// The request.
     pub digest: RequestDigest,
     /// The endpoints that ended under it.
-    pub ends: Vec<EndNews>,
+    pub ends: Vec<EndUpdate>,
     /// Those of them that were not its doing.
     pub cleared: Vec<EndpointStart>,
 }
@@ -150,12 +150,12 @@
     }
 
     /// Returns everything, for another instance.
-    pub(crate) fn news(&self, now: MonotonicTime, digest: RequestDigest) -> CaseNews {
-        let end = |(endpoint, seen): (&EndpointStart, &MonotonicTime)| EndNews {
+    pub(crate) fn news(&self, now: MonotonicTime, digest: RequestDigest) -> CaseUpdate {
+        let end = |(endpoint, seen): (&EndpointStart, &MonotonicTime)| EndUpdate {
             endpoint: endpoint.clone(),
             age: now.since(*seen),
         };
-        CaseNews {
+        CaseUpdate {
             digest,
             ends: self.ends.iter().map(end).collect(),
             cleared: self.cleared.iter().cloned().collect(),
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -24,6 +24,6 @@
 mod evidence;
 mod table;
 
-pub use case::{CaseNews, EndNews};
+pub use case::{CaseUpdate, EndUpdate};
 pub use digest::{AccountTag, DigestError, RequestDigest, RequestIdentity};
 pub use table::{CaseSummary, QuarantineTable, Standing};
--- a/crates/quarantine/src/table.rs
+++ b/crates/quarantine/src/table.rs
@@ -7,7 +7,7 @@
 use oriolepass_units::{EndpointStart, MonotonicTime};
 
 use crate::blame::{BlameVerdict, is_settled, judge};
-use crate::case::{CaseNews, EndChange, RequestCase};
+use crate::case::{CaseUpdate, EndChange, RequestCase};
 use crate::digest::{AccountTag, RequestDigest};
 
 /// Requests that are kept: some twenty ends of endpoints with sixteen requests each.
@@ -74,7 +74,7 @@
         now: MonotonicTime,
         digest: RequestDigest,
         endpoint: &EndpointStart,
-    ) -> Option<CaseNews> {
+    ) -> Option<CaseUpdate> {
         let case = self.cases.entry(digest).or_default();
         if case.end(endpoint, now) != EndChange::New {
             return None;
@@ -87,7 +87,7 @@
 
     /// Notes that a request was answered whole, or that an operator releases it: what ended under it was
     /// not its doing. Returns what to tell the others, if it is news.
-    pub fn clear(&mut self, now: MonotonicTime, digest: RequestDigest) -> Option<CaseNews> {
+    pub fn clear(&mut self, now: MonotonicTime, digest: RequestDigest) -> Option<CaseUpdate> {
         let case = self.cases.get_mut(&digest)?;
         if !case.clear_all() {
             return None;
@@ -99,7 +99,7 @@
     }
 
     /// Takes in what another instance knows; returns whether it is news.
-    pub fn merge(&mut self, now: MonotonicTime, news: &CaseNews) -> bool {
+    pub fn merge(&mut self, now: MonotonicTime, news: &CaseUpdate) -> bool {
         let known = self.cases.get(&news.digest);
         let mut case = known.cloned().unwrap_or_default();
         let changes: Vec<EndChange> =
@@ -149,13 +149,13 @@
     }
 
     /// Returns everything, for an instance that may know none of it.
-    pub fn news(&self, now: MonotonicTime) -> Vec<CaseNews> {
+    pub fn news(&self, now: MonotonicTime) -> Vec<CaseUpdate> {
         self.cases.iter().map(|(digest, case)| case.news(now, *digest)).collect()
     }
 
     /// Returns what the judgement draws on, to be kept where it survives: requests that lost several
     /// endpoints, and those that were answered since. Nearly all others that lost one are innocent.
-    pub fn lasting_news(&self, now: MonotonicTime) -> Vec<CaseNews> {
+    pub fn lasting_news(&self, now: MonotonicTime) -> Vec<CaseUpdate> {
         let cases = self.cases.iter().filter(|(_, case)| case.is_lasting());
         cases.map(|(digest, case)| case.news(now, *digest)).collect()
     }
--- a/crates/quarantine/tests/evidence.rs
+++ b/crates/quarantine/tests/evidence.rs
@@ -1,6 +1,8 @@
 //! What the judgement draws on: ends by chance that other requests survived, and how long they are known.
 
-use oriolepass_quarantine::{CaseNews, QuarantineTable, RequestDigest, RequestIdentity, Standing};
+use oriolepass_quarantine::{
+    CaseUpdate, QuarantineTable, RequestDigest, RequestIdentity, Standing,
+};
 use oriolepass_units::{EndpointStart, MonotonicTime};
 
 /// Far from zero, so that earlier moments can be told.
@@ -68,13 +70,13 @@
 /// Guards against full tables that bring back to each other what the other one has evicted.
 #[test]
 fn full_tables_keep_the_same_requests_in_whatever_order_they_learn_of_them() {
-    let news: Vec<CaseNews> = (0..400)
+    let news: Vec<CaseUpdate> = (0..400)
         .filter_map(|number| {
             let mut table = QuarantineTable::default();
             table.end(at(number * 10), digest(number), &endpoint(number))
         })
         .collect();
-    let learn = |news: &mut dyn Iterator<Item = &CaseNews>| {
+    let learn = |news: &mut dyn Iterator<Item = &CaseUpdate>| {
         let mut table = QuarantineTable::default();
         news.for_each(|case| {
             table.merge(at(10_000), case);
--- a/crates/quarantine/tests/table.rs
+++ b/crates/quarantine/tests/table.rs
@@ -1,6 +1,8 @@
 //! Tables of facts: merged in any order they are the same, and what is forgotten stays forgotten.
 
-use oriolepass_quarantine::{CaseNews, QuarantineTable, RequestDigest, RequestIdentity, Standing};
+use oriolepass_quarantine::{
+    CaseUpdate, QuarantineTable, RequestDigest, RequestIdentity, Standing,
+};
 use oriolepass_units::{AccountId, EndpointStart, MonotonicTime};
 use proptest::prelude::*;
 
@@ -172,7 +174,7 @@
 }
 
 /// What an instance that learns these facts in this order tells of each.
-fn news_of(facts: &[Fact]) -> Vec<CaseNews> {
+fn news_of(facts: &[Fact]) -> Vec<CaseUpdate> {
     let mut table = QuarantineTable::default();
     let learn = |fact: &Fact| match fact {
         Fact::End { request, endpoint: number, second } => {
@@ -180,7 +182,7 @@
         }
         Fact::Clear { request } => table.clear(at(41), digest(*request)),
     };
-    let news: Vec<Option<CaseNews>> = facts.iter().map(learn).collect();
+    let news: Vec<Option<CaseUpdate>> = facts.iter().map(learn).collect();
     news.into_iter().flatten().collect()
 }
 
--- a/crates/quarantine/tests/world/mod.rs
+++ b/crates/quarantine/tests/world/mod.rs
@@ -9,7 +9,9 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::time::Duration;
 
-use oriolepass_quarantine::{CaseNews, QuarantineTable, RequestDigest, RequestIdentity, Standing};
+use oriolepass_quarantine::{
+    CaseUpdate, QuarantineTable, RequestDigest, RequestIdentity, Standing,
+};
 use oriolepass_units::{EndpointId, EndpointStart, MonotonicTime, StartTime};
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
@@ -84,12 +86,12 @@
 struct Instance {
     table: QuarantineTable,
     /// What it has to say to others is on its way to each of them.
-    inbox: BTreeMap<usize, Vec<(u64, Vec<CaseNews>)>>,
+    inbox: BTreeMap<usize, Vec<(u64, Vec<CaseUpdate>)>>,
     boot: u64,
     is_up: bool,
     is_cut: bool,
     disturbed_until: u64,
-    disk: Option<Vec<CaseNews>>,
+    disk: Option<Vec<CaseUpdate>>,
 }
 
 #[derive(Default)]
@@ -419,7 +421,7 @@
         }
     }
 
-    fn tell_all(&mut self, from: usize, news: &CaseNews) {
+    fn tell_all(&mut self, from: usize, news: &CaseUpdate) {
         self.keep_on_disk(from);
         for to in 0..self.instances.len() {
             if to != from {
@@ -429,7 +431,7 @@
     }
 
     /// Sends a message; where it is lost, the next link brings all that its sender knows.
-    fn tell(&mut self, from: usize, to: usize, news: Vec<CaseNews>) {
+    fn tell(&mut self, from: usize, to: usize, news: Vec<CaseUpdate>) {
         let is_cut = self.instances[from].is_cut || self.instances[to].is_cut;
         let is_lost = self.rng.random_ratio(1, self.shape.one_lost_in);
         if is_cut || !self.instances[to].is_up || news.is_empty() {
