--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -244,7 +244,7 @@
         let mut state = self.quarantine.borrow_mut();
         let state = &mut *state;
         let Some(disk) = &state.disk else { return };
-        let news = state.table.lasting_news(self.case_time());
+        let news = state.table.durable_updates(self.case_time());
         let kept: Vec<_> =
             news.iter().map(|case| (case.digest, case.ends.len(), case.cleared.len())).collect();
         if kept != state.kept {
--- a/crates/quarantine/src/table.rs
+++ b/crates/quarantine/src/table.rs
@@ -155,7 +155,7 @@
 
     /// Returns what the judgement draws on, to be kept where it survives: requests that lost several
     /// endpoints, and those that were answered since. Nearly all others that lost one are innocent.
-    pub fn lasting_news(&self, now: MonotonicTime) -> Vec<CaseUpdate> {
+    pub fn durable_updates(&self, now: MonotonicTime) -> Vec<CaseUpdate> {
         let cases = self.cases.iter().filter(|(_, case)| case.is_lasting());
         cases.map(|(digest, case)| case.news(now, *digest)).collect()
     }
--- a/crates/quarantine/tests/evidence.rs
+++ b/crates/quarantine/tests/evidence.rs
@@ -59,7 +59,7 @@
 /// Guards against a restart of all daemons that remembers the ends of a storm and forgets that it was one.
 #[test]
 fn what_shows_a_storm_survives_on_a_disk() {
-    let kept = in_a_storm(20).lasting_news(at(5_000));
+    let kept = in_a_storm(20).durable_updates(at(5_000));
     let mut next = QuarantineTable::default();
     kept.iter().for_each(|case| {
         next.merge(at(5_000), case);
--- a/crates/quarantine/tests/table.rs
+++ b/crates/quarantine/tests/table.rs
@@ -133,7 +133,7 @@
 fn what_survives_on_a_disk_is_what_lost_several_endpoints() {
     let mut table = with_ends(digest(1), &[0, 1, 2]);
     table.end(at(5), digest(2), &endpoint(40));
-    let kept = table.lasting_news(at(9));
+    let kept = table.durable_updates(at(9));
     assert_eq!(kept.iter().map(|case| case.digest).collect::<Vec<_>>(), [digest(1)]);
     let mut next = QuarantineTable::default();
     // The clock of the next process begins anew, and the ages still hold.
--- a/crates/quarantine/tests/world/mod.rs
+++ b/crates/quarantine/tests/world/mod.rs
@@ -471,7 +471,7 @@
         let now = self.time();
         let entry = &mut self.instances[instance];
         if let Some(disk) = &mut entry.disk {
-            *disk = entry.table.lasting_news(now);
+            *disk = entry.table.durable_updates(now);
         }
     }
 
