--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -261,13 +261,13 @@
     }
 
     pub(crate) fn all_cases(&self) -> Vec<PeerMessage> {
-        in_messages(&self.quarantine.borrow().table.news(self.case_time()))
+        in_messages(&self.quarantine.borrow().table.updates(self.case_time()))
     }
 
     /// Returns a number that is the same for the same facts, whenever they were learnt.
     fn case_hash(&self) -> u64 {
         let mut hasher = xxhash_rust::xxh3::Xxh3Default::new();
-        for case in self.quarantine.borrow().table.news(MonotonicTime::ZERO) {
+        for case in self.quarantine.borrow().table.updates(MonotonicTime::ZERO) {
             case.digest.hash(&mut hasher);
             case.ends.iter().for_each(|end| end.endpoint.hash(&mut hasher));
             case.cleared.hash(&mut hasher);
--- a/crates/quarantine/src/table.rs
+++ b/crates/quarantine/src/table.rs
@@ -149,7 +149,7 @@
     }
 
     /// Returns everything, for an instance that may know none of it.
-    pub fn news(&self, now: MonotonicTime) -> Vec<CaseUpdate> {
+    pub fn updates(&self, now: MonotonicTime) -> Vec<CaseUpdate> {
         self.cases.iter().map(|(digest, case)| case.news(now, *digest)).collect()
     }
 
--- a/crates/quarantine/tests/evidence.rs
+++ b/crates/quarantine/tests/evidence.rs
@@ -86,7 +86,7 @@
     let forwards = learn(&mut news.iter());
     let mut backwards = learn(&mut news.iter().rev());
     assert_eq!(forwards.list(at(10_000)), backwards.list(at(10_000)));
-    let told = forwards.news(at(10_000));
+    let told = forwards.updates(at(10_000));
     assert!(told.iter().all(|case| !backwards.merge(at(10_000), case)), "nothing is news");
 }
 
--- a/crates/quarantine/tests/table.rs
+++ b/crates/quarantine/tests/table.rs
@@ -42,7 +42,7 @@
 }
 
 fn tell(from: &QuarantineTable, to: &mut QuarantineTable, now: MonotonicTime) -> bool {
-    from.news(now).iter().filter(|case| to.merge(now, case)).count() > 0
+    from.updates(now).iter().filter(|case| to.merge(now, case)).count() > 0
 }
 
 #[test]
--- a/crates/quarantine/tests/world/mod.rs
+++ b/crates/quarantine/tests/world/mod.rs
@@ -439,7 +439,7 @@
         }
         let delay =
             if is_lost { self.rng.random_range(200..1_500) } else { self.rng.random_range(1..15) };
-        let news = if is_lost { self.instances[from].table.news(self.time()) } else { news };
+        let news = if is_lost { self.instances[from].table.updates(self.time()) } else { news };
         let sent = self.now;
         self.instances[to].inbox.entry(from).or_default().push((sent, news));
         self.at(delay, Event::News { to, from });
@@ -491,7 +491,7 @@
     fn exchange(&mut self, left: usize, right: usize) {
         for (from, to) in [(left, right), (right, left)] {
             if self.instances[from].is_up {
-                let all = self.instances[from].table.news(self.time());
+                let all = self.instances[from].table.updates(self.time());
                 self.tell(from, to, all);
             }
         }
@@ -588,7 +588,7 @@
         for instance in &self.instances {
             // Whoever is down at the last moment starts with what is on its disk.
             let on_disk = instance.disk.clone().unwrap_or_default();
-            let known = if instance.is_up { instance.table.news(now) } else { on_disk };
+            let known = if instance.is_up { instance.table.updates(now) } else { on_disk };
             known.iter().for_each(|case| {
                 all.merge(now, case);
             });
