--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -48,7 +48,8 @@
 impl Gateway {
     /// Notes that an endpoint ended under a request of a caller here.
     pub(crate) fn ended_under(&self, digest: RequestDigest, endpoint: &EndpointStart) {
-        let news = self.quarantine.borrow_mut().table.end(self.case_time(), digest, endpoint);
+        let news =
+            self.quarantine.borrow_mut().table.record_end(self.case_time(), digest, endpoint);
         self.quarantine_changed(news);
     }
 
--- a/crates/quarantine/src/table.rs
+++ b/crates/quarantine/src/table.rs
@@ -69,7 +69,7 @@
     }
 
     /// Notes that an endpoint ended under a request; returns what to tell the others, if it is news.
-    pub fn end(
+    pub fn record_end(
         &mut self,
         now: MonotonicTime,
         digest: RequestDigest,
--- a/crates/quarantine/tests/evidence.rs
+++ b/crates/quarantine/tests/evidence.rs
@@ -28,7 +28,7 @@
 /// Lets `request` lose one endpoint a second, four in all.
 fn lose_four(table: &mut QuarantineTable, request: RequestDigest) {
     for second in 1..=4 {
-        table.end(at(second * 1_000), request, &endpoint(second));
+        table.record_end(at(second * 1_000), request, &endpoint(second));
     }
 }
 
@@ -39,7 +39,7 @@
     for request in 1..=requests {
         for number in 0..3 {
             let seen = 500 + number * 1_100 + request * 61 % 1_000;
-            table.end(at(seen), digest(request), &endpoint(request * 100 + number));
+            table.record_end(at(seen), digest(request), &endpoint(request * 100 + number));
         }
         table.clear(at(4_000), digest(request));
     }
@@ -73,7 +73,7 @@
     let news: Vec<CaseUpdate> = (0..400)
         .filter_map(|number| {
             let mut table = QuarantineTable::default();
-            table.end(at(number * 10), digest(number), &endpoint(number))
+            table.record_end(at(number * 10), digest(number), &endpoint(number))
         })
         .collect();
     let learn = |news: &mut dyn Iterator<Item = &CaseUpdate>| {
@@ -95,7 +95,11 @@
 fn a_request_is_not_quarantined_when_the_storm_that_it_met_is_forgotten() {
     let mut table = in_a_storm(20);
     for number in 0..400 {
-        table.end(at(20_000 + number * 10), digest(1_000 + number), &endpoint(90_000 + number));
+        table.record_end(
+            at(20_000 + number * 10),
+            digest(1_000 + number),
+            &endpoint(90_000 + number),
+        );
         table.clear(at(20_005 + number * 10), digest(1_000 + number));
     }
     assert!(!is_quarantined(&table, 60_000, digest(0)));
--- a/crates/quarantine/tests/table.rs
+++ b/crates/quarantine/tests/table.rs
@@ -36,7 +36,7 @@
 fn with_ends(request: RequestDigest, seconds: &[u64]) -> QuarantineTable {
     let mut table = QuarantineTable::default();
     for (number, second) in seconds.iter().enumerate() {
-        table.end(at(*second), request, &endpoint(number));
+        table.record_end(at(*second), request, &endpoint(number));
     }
     table
 }
@@ -52,7 +52,7 @@
     assert!(table.clear(at(2), digest(1)).is_some());
     assert!(table.clear(at(2), digest(1)).is_none(), "no news");
     assert_eq!(table.standing(at(2), digest(1)), Standing::Clear);
-    table.end(at(3), digest(1), &endpoint(7));
+    table.record_end(at(3), digest(1), &endpoint(7));
     assert_eq!(table.standing(at(3), digest(1)), Standing::Suspect);
 }
 
@@ -60,7 +60,7 @@
 fn what_ends_at_one_moment_is_one_end() {
     let mut table = QuarantineTable::default();
     (0..8).for_each(|number| {
-        table.end(at(1), digest(1), &endpoint(number));
+        table.record_end(at(1), digest(1), &endpoint(number));
     });
     assert_eq!(table.standing(at(2), digest(1)), Standing::Suspect, "a rack lost its power");
 }
@@ -69,11 +69,11 @@
 fn requests_that_were_at_the_same_ends_are_not_told_apart_by_them() {
     let mut table = with_ends(digest(1), &[0, 1, 2]);
     for (number, second) in [0, 1, 2].into_iter().enumerate() {
-        table.end(at(second), digest(2), &endpoint(number));
+        table.record_end(at(second), digest(2), &endpoint(number));
     }
     assert!(!is_quarantined(table.standing(at(3), digest(1))));
     assert!(!is_quarantined(table.standing(at(3), digest(2))));
-    table.end(at(4), digest(2), &endpoint(9));
+    table.record_end(at(4), digest(2), &endpoint(9));
     assert!(is_quarantined(table.standing(at(4), digest(2))), "one more end tells");
     assert_eq!(table.standing(at(4), digest(1)), Standing::Clear, "and explains the others");
 }
@@ -88,12 +88,12 @@
     assert_eq!((trial_in(&table, 2), trial_in(&table, 602)), (600, 0));
     table.begin_trial(at(700), digest(1));
     assert_eq!(trial_in(&table, 700), 600, "one at a time");
-    table.end(at(701), digest(1), &endpoint(20));
+    table.record_end(at(701), digest(1), &endpoint(20));
     assert_eq!(trial_in(&table, 701), 1_200);
     let trials = (0..24 * 3_600).fold((table, 0), |(mut table, count), second| {
         let is_due = trial_in(&table, 701 + second) == 0;
         if is_due {
-            table.end(at(701 + second), digest(1), &endpoint(30 + count));
+            table.record_end(at(701 + second), digest(1), &endpoint(30 + count));
         }
         (table, count + usize::from(is_due))
     });
@@ -132,7 +132,7 @@
 #[test]
 fn what_survives_on_a_disk_is_what_lost_several_endpoints() {
     let mut table = with_ends(digest(1), &[0, 1, 2]);
-    table.end(at(5), digest(2), &endpoint(40));
+    table.record_end(at(5), digest(2), &endpoint(40));
     let kept = table.durable_updates(at(9));
     assert_eq!(kept.iter().map(|case| case.digest).collect::<Vec<_>>(), [digest(1)]);
     let mut next = QuarantineTable::default();
@@ -148,10 +148,10 @@
     let mut table = QuarantineTable::default();
     let quiet: Vec<RequestDigest> = (0..5).map(|n| of_account("quiet", n)).collect();
     for (number, request) in quiet.iter().enumerate() {
-        table.end(at(1), *request, &endpoint(number));
+        table.record_end(at(1), *request, &endpoint(number));
     }
     for number in 0..2_000 {
-        table.end(at(2), of_account("loud", number), &endpoint(100 + number));
+        table.record_end(at(2), of_account("loud", number), &endpoint(100 + number));
     }
     let kept = table.list(at(3));
     assert!(kept.len() <= 5 + 128, "{} are kept", kept.len());
@@ -178,7 +178,7 @@
     let mut table = QuarantineTable::default();
     let learn = |fact: &Fact| match fact {
         Fact::End { request, endpoint: number, second } => {
-            table.end(at(*second), digest(*request), &endpoint(*number))
+            table.record_end(at(*second), digest(*request), &endpoint(*number))
         }
         Fact::Clear { request } => table.clear(at(41), digest(*request)),
     };
--- a/crates/quarantine/tests/world/mod.rs
+++ b/crates/quarantine/tests/world/mod.rs
@@ -400,7 +400,7 @@
         let id: EndpointId = format!("e{endpoint}").parse().expect("an id");
         let start = EndpointStart::new(id, StartTime(life + 1));
         let (now, digest) = (self.time(), self.requests[request].digest);
-        if let Some(news) = self.instances[instance].table.end(now, digest, &start) {
+        if let Some(news) = self.instances[instance].table.record_end(now, digest, &start) {
             self.tell_all(instance, &news);
         }
         // A second try within the attempt, or the caller's next one.
