--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -58,7 +58,7 @@
         if self.quarantine.borrow().table.is_empty() {
             return;
         }
-        let news = self.quarantine.borrow_mut().table.clear(self.case_time(), digest());
+        let news = self.quarantine.borrow_mut().table.clear_request(self.case_time(), digest());
         self.quarantine_changed(news);
     }
 
@@ -70,7 +70,7 @@
     /// Takes an operator's word that what ended under a request was not its doing; returns whether
     /// anything spoke against it.
     pub(crate) fn release_request(&self, digest: RequestDigest) -> bool {
-        let news = self.quarantine.borrow_mut().table.clear(self.case_time(), digest);
+        let news = self.quarantine.borrow_mut().table.clear_request(self.case_time(), digest);
         let is_news = news.is_some();
         self.quarantine_changed(news);
         is_news
--- a/crates/quarantine/src/table.rs
+++ b/crates/quarantine/src/table.rs
@@ -87,7 +87,11 @@
 
     /// Notes that a request was answered whole, or that an operator releases it: what ended under it was
     /// not its doing. Returns what to tell the others, if it is news.
-    pub fn clear(&mut self, now: MonotonicTime, digest: RequestDigest) -> Option<CaseUpdate> {
+    pub fn clear_request(
+        &mut self,
+        now: MonotonicTime,
+        digest: RequestDigest,
+    ) -> Option<CaseUpdate> {
         let case = self.cases.get_mut(&digest)?;
         if !case.clear_all() {
             return None;
--- a/crates/quarantine/tests/evidence.rs
+++ b/crates/quarantine/tests/evidence.rs
@@ -41,7 +41,7 @@
             let seen = 500 + number * 1_100 + request * 61 % 1_000;
             table.record_end(at(seen), digest(request), &endpoint(request * 100 + number));
         }
-        table.clear(at(4_000), digest(request));
+        table.clear_request(at(4_000), digest(request));
     }
     lose_four(&mut table, digest(0));
     table
@@ -100,7 +100,7 @@
             digest(1_000 + number),
             &endpoint(90_000 + number),
         );
-        table.clear(at(20_005 + number * 10), digest(1_000 + number));
+        table.clear_request(at(20_005 + number * 10), digest(1_000 + number));
     }
     assert!(!is_quarantined(&table, 60_000, digest(0)));
 }
--- a/crates/quarantine/tests/table.rs
+++ b/crates/quarantine/tests/table.rs
@@ -49,8 +49,8 @@
 fn a_whole_answer_clears_a_request_and_an_end_after_it_counts_anew() {
     let mut table = with_ends(digest(1), &[0, 1]);
     assert_eq!(table.standing(at(2), digest(1)), Standing::Suspect);
-    assert!(table.clear(at(2), digest(1)).is_some());
-    assert!(table.clear(at(2), digest(1)).is_none(), "no news");
+    assert!(table.clear_request(at(2), digest(1)).is_some());
+    assert!(table.clear_request(at(2), digest(1)).is_none(), "no news");
     assert_eq!(table.standing(at(2), digest(1)), Standing::Clear);
     table.record_end(at(3), digest(1), &endpoint(7));
     assert_eq!(table.standing(at(3), digest(1)), Standing::Suspect);
@@ -111,7 +111,7 @@
     assert!(!tell(&old, &mut table, at(602)));
     assert!(table.is_empty());
     let mut cleared = with_ends(digest(1), &[0]);
-    cleared.clear(at(1), digest(1));
+    cleared.clear_request(at(1), digest(1));
     cleared.expire(at(61));
     assert!(cleared.is_empty(), "most of what is noted is cleared within seconds");
 }
@@ -120,7 +120,7 @@
 fn a_release_holds_against_one_that_missed_it() {
     let old = with_ends(digest(1), &[0, 1, 2]);
     let mut table = with_ends(digest(1), &[0, 1, 2]);
-    table.clear(at(300), digest(1));
+    table.clear_request(at(300), digest(1));
     table.expire(at(3_000));
     tell(&old, &mut table, at(3_001));
     assert_eq!(table.standing(at(3_001), digest(1)), Standing::Clear);
@@ -180,7 +180,7 @@
         Fact::End { request, endpoint: number, second } => {
             table.record_end(at(*second), digest(*request), &endpoint(*number))
         }
-        Fact::Clear { request } => table.clear(at(41), digest(*request)),
+        Fact::Clear { request } => table.clear_request(at(41), digest(*request)),
     };
     let news: Vec<Option<CaseUpdate>> = facts.iter().map(learn).collect();
     news.into_iter().flatten().collect()
--- a/crates/quarantine/tests/world/mod.rs
+++ b/crates/quarantine/tests/world/mod.rs
@@ -416,7 +416,7 @@
         self.requests[request].at = None;
         self.requests[request].is_served = true;
         let (now, digest) = (self.time(), self.requests[request].digest);
-        if let Some(news) = self.instances[instance].table.clear(now, digest) {
+        if let Some(news) = self.instances[instance].table.clear_request(now, digest) {
             self.tell_all(instance, &news);
         }
     }
