--- a/crates/placement/src/cost.rs
+++ b/crates/placement/src/cost.rs
@@ -75,9 +75,9 @@
     /// Computes the cost of a prompt.
     pub fn new(profile: &EngineProfile, prompt_tokens: u64) -> Self {
         let tokens = prompt_tokens as f64;
-        let linear = tokens / profile.read_tokens_per_s * 1_000.0;
+        let linear = tokens / profile.prefill_tokens_per_s * 1_000.0;
         let pairs_m = tokens * tokens / 2.0 / 1e6;
-        Self { whole_ms: linear + pairs_m * profile.read_ms_per_million_pairs, tokens }
+        Self { whole_ms: linear + pairs_m * profile.prefill_ms_per_million_pairs, tokens }
     }
 
     /// Returns the cost of one of `parts` even parts, each with its share of the pairs.
--- a/crates/placement/src/fleet.rs
+++ b/crates/placement/src/fleet.rs
@@ -278,7 +278,7 @@
         views: &[(EndpointStart, EngineView)],
     ) -> Job<'a> {
         let cost = ReadCost::new(profile, ask.prompt_tokens);
-        let per_pass = profile.read_tokens_per_step * u64::from(profile.steps_per_pass);
+        let per_pass = profile.prefill_tokens_per_step * u64::from(profile.steps_per_pass);
         let ms_per_token = cost.whole_ms / ask.prompt_tokens.max(1) as f64;
         let meter = self.demand.entry(ask.service.clone()).or_default();
         Job {
--- a/crates/placement/src/passes.rs
+++ b/crates/placement/src/passes.rs
@@ -312,8 +312,8 @@
         let whole = prompt.prompt_tokens as f64;
         let tokens = (whole / parts).max(1.0);
         let pairs_m = whole * whole / 2.0 / 1e6 / parts;
-        let ms = tokens / self.profile.read_tokens_per_s * 1_000.0
-            + pairs_m * self.profile.read_ms_per_million_pairs;
+        let ms = tokens / self.profile.prefill_tokens_per_s * 1_000.0
+            + pairs_m * self.profile.prefill_ms_per_million_pairs;
         PassReading { key: prompt.key, left_tokens: tokens, ms_per_token: ms / tokens }
     }
 
@@ -324,7 +324,7 @@
         }
         let step = self.step_ms(writers.iter().copied());
         let steps = if writers.is_empty() { 1 } else { self.profile.steps_per_pass };
-        let read_ms = self.read((self.profile.read_tokens_per_step * u64::from(steps)) as f64);
+        let read_ms = self.read((self.profile.prefill_tokens_per_step * u64::from(steps)) as f64);
         for answer in self.answers.iter_mut().filter(|answer| answer.is_writing) {
             let had_left = answer.left_tokens > 0.0;
             answer.left_tokens -= f64::from(steps);
@@ -344,7 +344,7 @@
         let mut step = self.profile.step_ms;
         let mut joint = false;
         for answer in writers {
-            step += self.profile.step_ms_per_writer
+            step += self.profile.step_ms_per_decoding_request
                 + self.profile.step_ms_per_context_k * answer.prompt.prompt_tokens as f64 / 1_000.0;
             joint |= answer.prompt.parts > 1;
         }
--- a/crates/routing/src/document.rs
+++ b/crates/routing/src/document.rs
@@ -80,15 +80,15 @@
     /// The least time of one step, which makes one token for each request that writes.
     pub step_ms: f64,
     /// Added to a step for each request that writes.
-    pub step_ms_per_writer: f64,
+    pub step_ms_per_decoding_request: f64,
     /// Added to a step for each 1,000 tokens of context of a request that writes.
     pub step_ms_per_context_k: f64,
     /// Prompt tokens read in a second.
-    pub read_tokens_per_s: f64,
+    pub prefill_tokens_per_s: f64,
     /// Added to reading for each million pairs of a prompt token and an earlier one.
-    pub read_ms_per_million_pairs: f64,
+    pub prefill_ms_per_million_pairs: f64,
     /// The most prompt tokens that are read beside one step.
-    pub read_tokens_per_step: u64,
+    pub prefill_tokens_per_step: u64,
     /// Steps in a pass during which some request writes.
     pub steps_per_pass: u32,
     /// How old an engine's report of itself may be.
