--- a/crates/routing/src/document.rs
+++ b/crates/routing/src/document.rs
@@ -1,4 +1,4 @@
-//! The parts of a routing document and the checks that it must pass.
+//! The types of a routing document and its validation.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -8,22 +8,22 @@
 
 use crate::register::RoutingRevision;
 
-/// What may happen to a request after it has been sent to an endpoint once.
+/// Whether and how a request may be sent again after it has been sent to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RepeatRule {
-    /// It may run more than once.
+    /// The request may run more than once.
     Idempotent,
-    /// It may run at most once.
+    /// The request may run at most once.
     AtMostOnce,
-    /// Its answer is a stream of events, which may go on at another endpoint after the last
-    /// event that the caller has.
+    /// The response is an event stream that another endpoint may resume after the last event that
+    /// the caller has received.
     ResumableStream,
-    /// Its answer is a stream of events, and it may run at most once.
+    /// The response is an event stream, and the request may run at most once.
     Stream,
 }
 
 impl RepeatRule {
-    /// Returns whether the answer is a stream of events.
+    /// Returns whether the response is an event stream.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::ResumableStream | Self::Stream)
     }
@@ -34,103 +34,103 @@
     }
 }
 
-/// A service with its part of a route's requests.
+/// A service with its share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WeightedService {
     /// The service.
     pub service: ServiceName,
-    /// Its part, relative to the other weights of the route.
+    /// The share, relative to the other weights of the route.
     pub weight: u32,
 }
 
-/// A route.
+/// A route: the requests that it matches and how they are handled.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteSpec {
-    /// Its name, for logs.
+    /// The name, for logs.
     pub name: String,
-    /// The host that requests name.
+    /// The value of the `Host` header that the route matches.
     pub host: String,
-    /// The beginning of the paths that it serves.
+    /// The path prefix that the route matches.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether and how its requests may be sent again.
     pub repeat: RepeatRule,
-    /// The longest time that a request may take.
+    /// The maximum duration of a request.
     pub timeout: Duration,
-    /// The time within which an answer, or a stream's first event, is on time.
+    /// The latency objective of a response, or of the first event of a stream.
     pub objective: Duration,
-    /// The longest pause between two events of a stream that is on time.
+    /// The objective for the longest pause between two events of a stream.
     pub pause_objective: Option<Duration>,
-    /// The most endpoints that one request may run on.
+    /// The maximum number of endpoints that one request may run on.
     pub max_attempts: u32,
-    /// Its rank; 0 is the most important.
+    /// The priority; 0 is the highest.
     pub priority: u8,
-    /// The services that serve it.
+    /// The services that serve the route, with their weights.
     pub split: Vec<WeightedService>,
-    /// Whether requests need no key.
+    /// Whether requests are accepted without a key.
     pub is_public: bool,
 }
 
-/// How an engine works, as its operators publish it. Times are in milliseconds.
+/// The performance model of an inference engine, as its operators publish it. Times are in milliseconds.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineProfile {
-    /// Requests that run at once.
+    /// Requests that run concurrently.
     pub slots: u32,
-    /// Tokens that its memory holds.
+    /// Capacity of the KV cache in tokens.
     pub memory_tokens: u64,
-    /// The least time of one step, which makes one token for each request that writes.
+    /// Minimum time of one step, which generates one token for each request that is decoding.
     pub step_ms: f64,
-    /// Added to a step for each request that writes.
+    /// Added to a step for each request that is decoding.
     pub step_ms_per_decoding_request: f64,
-    /// Added to a step for each 1,000 tokens of context of a request that writes.
+    /// Added to a step for each 1,000 context tokens of a request that is decoding.
     pub step_ms_per_context_k: f64,
-    /// Prompt tokens read in a second.
+    /// Prompt tokens processed per second.
     pub prefill_tokens_per_s: f64,
-    /// Added to reading for each million pairs of a prompt token and an earlier one.
+    /// Added to the prefill time for each million pairs of a prompt token and an earlier token.
     pub prefill_ms_per_million_pairs: f64,
-    /// The most prompt tokens that are read beside one step.
+    /// Maximum number of prompt tokens that are processed along with one step.
     pub prefill_tokens_per_step: u64,
-    /// Steps in a pass during which some request writes.
+    /// Steps in a pass during which at least one request is decoding.
     pub steps_per_pass: u32,
-    /// How old an engine's report of itself may be.
+    /// Maximum age of an engine's report of its own state.
     pub report_lag_ms: f64,
-    /// Added to a step for a request whose prompt was read by several engines.
+    /// Added to a step for a request whose prompt was processed by several engines.
     pub group_step_ms: f64,
 }
 
-/// A service.
+/// A service and the properties of its endpoints.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceSpec {
-    /// Its name.
+    /// The name.
     pub name: ServiceName,
-    /// The path of its health check.
+    /// The path of the health check.
     pub health_path: String,
-    /// Connections that one endpoint accepts from all instances together.
+    /// Maximum number of connections that one endpoint accepts from all instances together.
     pub max_connections: u32,
-    /// How its engines work, where its endpoints are engines.
+    /// The performance model of the endpoints if they are inference engines.
     pub engine: Option<EngineProfile>,
-    /// The limit on requests to its cold endpoints, if any.
+    /// The rate limit of cold endpoints, if any.
     pub cold_start: Option<ColdStart>,
 }
 
-/// The limit on requests to an endpoint that is cold, as after its start.
+/// The rate limit of a cold endpoint, such as one that has just started.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdStart {
-    /// How long an endpoint stays cold.
+    /// The time for which an endpoint is cold.
     pub span: Duration,
-    /// Requests a second that it can take, from all instances together.
+    /// Maximum request rate per second from all instances together.
     pub max_requests_per_s: f64,
 }
 
-/// What a caller may send, and how long it may take.
+/// Limits on the size and duration of what a caller sends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct IngressLimits {
-    /// The longest head of a request, in bytes.
+    /// Maximum size of a request's head in bytes.
     pub max_head_bytes: usize,
-    /// The longest body of a request, in bytes.
+    /// Maximum size of a request's body in bytes.
     pub max_body_bytes: usize,
-    /// The time for a request's head to arrive.
+    /// The time within which a request's head must arrive.
     pub head_timeout: Duration,
-    /// The time that a connection may stay without a request.
+    /// The time for which a connection may be idle.
     pub idle_timeout: Duration,
 }
 
@@ -139,31 +139,31 @@
 pub struct AccountKeys {
     /// The account.
     pub account: AccountId,
-    /// The keys that its callers show.
+    /// The keys that its callers present.
     pub keys: Vec<String>,
-    /// Its rank, which goes before that of the route.
+    /// The priority, which overrides that of the route.
     pub priority: Option<u8>,
 }
 
 /// A routing document.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RoutingDocument {
-    /// Its place in the order of documents.
+    /// The revision, which orders documents.
     pub revision: RoutingRevision,
     /// The routes.
     pub routes: Vec<RouteSpec>,
     /// The services.
     pub services: Vec<ServiceSpec>,
-    /// What callers may send.
+    /// The limits on callers' requests.
     pub limits: IngressLimits,
-    /// The client accounts; none where requests need no key at all.
+    /// The client accounts; `None` if requests need no keys at all.
     pub accounts: Option<Vec<AccountKeys>>,
 }
 
-/// The reason that a document was refused.
+/// The reason why a document was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum DocumentProblem {
-    /// It cannot be read.
+    /// The document cannot be decoded.
     #[error("the document cannot be read: {0}; send it whole and in the published form")]
     Unreadable(String),
     /// A route leads to a service that is not in the document.
@@ -174,48 +174,48 @@
         /// The service.
         service: ServiceName,
     },
-    /// Two routes serve the same paths of one host.
+    /// Two routes have the same host and path prefix.
     #[error("routes {first} and {second} share a host and a prefix; remove or change one")]
-    SamePlace {
-        /// The route that stands first.
+    DuplicateRoute {
+        /// The route that comes first in the document.
         first: String,
-        /// The other.
+        /// The other route.
         second: String,
     },
-    /// No service of a route has a weight.
+    /// The weights of all services of a route are 0.
     #[error("the weights of route {0} add up to 0; give one of its services a weight")]
     NoWeight(String),
-    /// A route gives its requests no time.
+    /// The timeout of a route is 0.
     #[error("the timeout of route {0} is 0; give at least 1 ms")]
     NoTimeout(String),
-    /// A prefix does not begin and end with a slash.
+    /// A path prefix does not begin and end with a slash.
     #[error("the prefix of route {0} does not begin and end with a slash; add what is missing")]
     BadPrefix(String),
     /// Two accounts hold the same key.
     #[error("the accounts {first} and {second} share a key; give each its own")]
     SharedKey {
-        /// The account that stands first.
+        /// The account that comes first in the document.
         first: AccountId,
-        /// The other.
+        /// The other account.
         second: AccountId,
     },
 }
 
 impl RoutingDocument {
-    /// Checks what can be wrong with a document that could be read.
+    /// Validates a decoded document.
     ///
     /// # Errors
     ///
     /// Returns the first problem.
     pub fn check(&self) -> Result<(), DocumentProblem> {
         let services: HashSet<&ServiceName> = self.services.iter().map(|s| &s.name).collect();
-        let mut places = HashMap::new();
+        let mut routes_by_prefix = HashMap::new();
         for route in &self.routes {
             check_route(route, &services)?;
-            let place = (route.host.to_ascii_lowercase(), route.path_prefix.as_str());
-            if let Some(first) = places.insert(place, route) {
+            let prefix = (route.host.to_ascii_lowercase(), route.path_prefix.as_str());
+            if let Some(first) = routes_by_prefix.insert(prefix, route) {
                 let (first, second) = (first.name.clone(), route.name.clone());
-                return Err(DocumentProblem::SamePlace { first, second });
+                return Err(DocumentProblem::DuplicateRoute { first, second });
             }
         }
         self.check_keys()
--- a/crates/routing/src/drains.rs
+++ b/crates/routing/src/drains.rs
@@ -1,4 +1,4 @@
-//! The replicated register of drained data centres, whose endpoints get no new requests.
+//! The replicated register of drained data centres. Endpoints of a drained data centre receive no new requests.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -33,9 +33,9 @@
 pub struct DrainCommand {
     /// The id of the data centre.
     pub data_centre: DataCentreId,
-    /// Whether to drain the data centre; otherwise it is restored.
+    /// Whether to drain the data centre (`true`) or to restore it (`false`).
     pub is_drained: bool,
-    /// The newest revision when the operator's call arrived.
+    /// The register's revision when the operator's call arrived.
     pub base_revision: DrainRevision,
 }
 
@@ -44,7 +44,7 @@
 pub enum DrainOutcome {
     /// The data centre was drained or restored.
     Changed,
-    /// The data centre was in the requested state already.
+    /// The data centre was already in the requested state.
     Unchanged,
     /// The data centre changed after the command's base revision, so the command was dropped.
     Superseded,
@@ -56,19 +56,20 @@
     changed_at: DrainRevision,
 }
 
-/// The drained data centres, as a part of the replicated state.
+/// The register of drained data centres, part of the replicated state.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainRegister {
     revision: DrainRevision,
-    /// Every data centre that has ever been drained; restored ones keep the revision of the change.
+    /// All data centres that have ever been drained. Restored data centres keep the revision of the
+    /// change.
     states: BTreeMap<DataCentreId, DrainState>,
 }
 
 impl DrainRegister {
     /// Applies a command.
     ///
-    /// A delayed command must not undo a later one, so it is dropped if the data centre changed
-    /// after the command's base revision.
+    /// A command is dropped if the data centre changed after the command's base revision, so that a
+    /// delayed command does not undo a later one.
     pub fn apply(&mut self, command: &DrainCommand) -> DrainOutcome {
         let state = self.states.get(&command.data_centre);
         if state.is_some_and(|state| state.is_drained) == command.is_drained {
@@ -83,7 +84,7 @@
         DrainOutcome::Changed
     }
 
-    /// Returns the number of changes so far.
+    /// Returns the number of changes applied so far.
     pub fn revision(&self) -> DrainRevision {
         self.revision
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,14 +1,15 @@
-//! Routing documents: what operators write as a whole, ordered by a version.
+//! Defines, validates, compiles and replicates routing documents.
 //!
-//! A [`RoutingDocument`] says which routes exist, which services they lead to, which client
-//! accounts hold which keys, and how much a caller may send. It is checked as a whole
-//! ([`RoutingDocument::check`]) before it is proposed, compiled once into a [`RoutingTable`]
-//! that every request is looked up in, and replicated as the text that the operator sent
-//! ([`RoutingRegister`]): the highest version wins, and a lower one never comes back.
+//! A [`RoutingDocument`] is the routing configuration that operators submit as a whole. It defines the
+//! routes, the services that serve them, the keys of the client accounts and the limits on callers'
+//! requests. A document is validated as a whole ([`RoutingDocument::check`]) before it is proposed. It
+//! is compiled once into a [`RoutingTable`], which serves the lookups of all requests. It is replicated
+//! as the text that the operator sent ([`RoutingRegister`]). Documents are ordered by revision: the
+//! register holds the document with the highest revision and rejects lower revisions.
 //!
 //! Operators drain and restore data centres independently of the document ([`DrainRegister`]).
 //!
-//! The package holds no clock, socket or thread.
+//! The crate does no I/O, reads no clock and starts no threads.
 
 mod document;
 mod drains;
--- a/crates/routing/src/register.rs
+++ b/crates/routing/src/register.rs
@@ -1,4 +1,4 @@
-//! The replicated register: the newest document's text, ordered by revision.
+//! The replicated register, which holds the text of the routing document with the highest revision.
 
 use std::fmt;
 use std::io::{Read, Write};
@@ -11,11 +11,11 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The longest text that is unpacked, in bytes: four times the longest body that operators may
-/// send, so that a damaged length cannot exhaust the memory.
+/// Maximum size of a decompressed text in bytes: four times the largest body that operators may send.
+/// The limit prevents damaged compressed data from exhausting the memory.
 const MAX_TEXT_BYTES: u64 = 16 * 1024 * 1024;
 
-/// A document's place in the order that its operators give.
+/// A document's revision, which operators assign and which orders documents.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -36,72 +36,74 @@
     }
 }
 
-/// The packed text cannot be unpacked.
+/// The compressed text of a document cannot be decompressed.
 #[derive(Debug, Error)]
-#[error("the kept text of a routing document cannot be unpacked: {0}; replace this replica's disk")]
+#[error(
+    "the stored text of a routing document cannot be decompressed: {0}; replace this replica's disk"
+)]
 pub struct TextError(#[from] std::io::Error);
 
-/// A document as its operator sent it, packed.
+/// The compressed text of a document as its operator sent it.
 ///
-/// The text is kept rather than the decoded document, so that a reader gets back every field
-/// that was sent, those that this version does not know included.
+/// The register stores the text instead of the decoded document, so that a reader gets back every
+/// field that was sent, including fields that this version does not know.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutingText {
-    /// The document's place in the order.
+    /// The document's revision.
     pub revision: RoutingRevision,
     packed: Arc<[u8]>,
 }
 
 impl RoutingText {
-    /// Packs a text.
+    /// Compresses a text.
     ///
     /// # Panics
     ///
-    /// Never: writing to memory does not fail.
+    /// Does not panic: writing to a `Vec` does not fail.
     pub fn pack(revision: RoutingRevision, text: &[u8]) -> Self {
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
-        encoder.write_all(text).expect("memory takes every byte");
-        let packed = encoder.finish().expect("memory takes every byte");
+        encoder.write_all(text).expect("writing to a `Vec` does not fail");
+        let packed = encoder.finish().expect("writing to a `Vec` does not fail");
         Self { revision, packed: packed.into() }
     }
 
-    /// Unpacks the text.
+    /// Decompresses the text.
     ///
     /// # Errors
     ///
-    /// Returns an error when the packed bytes are damaged.
+    /// Returns an error when the compressed bytes are damaged.
     pub fn unpack(&self) -> Result<Vec<u8>, TextError> {
         let mut text = Vec::new();
         DeflateDecoder::new(&*self.packed).take(MAX_TEXT_BYTES).read_to_end(&mut text)?;
         Ok(text)
     }
 
-    /// Returns the packed size in bytes.
+    /// Returns the compressed size in bytes.
     pub fn packed_bytes(&self) -> usize {
         self.packed.len()
     }
 }
 
-/// What became of a proposed document.
+/// The outcome of applying a proposed document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RegisterOutcome {
-    /// It is the newest now.
+    /// The register now holds the document.
     Accepted,
-    /// One with this revision or a higher one was there before; nothing changed.
+    /// The register already held a document with the same or a higher revision, so nothing changed.
     Superseded {
-        /// The revision held.
+        /// The revision that the register holds.
         held: RoutingRevision,
     },
 }
 
-/// The state machine of the replicated log.
+/// The document register, a state machine of the replicated log.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutingRegister {
     newest: Option<RoutingText>,
 }
 
 impl RoutingRegister {
-    /// Takes a document in if none with its revision or a higher one is held.
+    /// Stores a document unless the register holds one with the same or a higher revision.
     pub fn apply(&mut self, text: RoutingText) -> RegisterOutcome {
         match self.revision().filter(|held| *held >= text.revision) {
             Some(held) => RegisterOutcome::Superseded { held },
@@ -112,12 +114,12 @@
         }
     }
 
-    /// Returns the newest document's text.
+    /// Returns the text of the document with the highest revision.
     pub fn newest(&self) -> Option<&RoutingText> {
         self.newest.as_ref()
     }
 
-    /// Returns the newest document's revision.
+    /// Returns the highest revision.
     pub fn revision(&self) -> Option<RoutingRevision> {
         self.newest.as_ref().map(|text| text.revision)
     }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,4 +1,4 @@
-//! The lookup of a request's route, service and client account.
+//! Looks up the route, service and client account of a request.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,30 +9,30 @@
 use crate::document::{IngressLimits, RouteSpec, RoutingDocument, ServiceSpec};
 use crate::register::RoutingRevision;
 
-/// The account that a key belongs to.
+/// The client account that a key belongs to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyHolder {
     /// The account.
     pub account: AccountId,
-    /// Its rank, which goes before that of the route.
+    /// The priority, which overrides that of the route.
     pub priority: Option<u8>,
 }
 
-/// A document made ready for lookups.
+/// A routing document compiled for lookups.
 #[derive(Debug)]
 pub struct RoutingTable {
     revision: RoutingRevision,
     limits: IngressLimits,
-    /// The routes of each host, longest prefix first.
+    /// The routes of each host, sorted by descending prefix length.
     hosts: HashMap<String, Vec<Arc<RouteSpec>>>,
     services: HashMap<ServiceName, Arc<ServiceSpec>>,
-    /// Accounts by the hash of the key, so that no key stays in memory and an attacker cannot
-    /// choose the bytes compared; none where the document has no accounts.
+    /// Accounts by the hash of the key; `None` if the document has no accounts. With hashes, no key
+    /// stays in memory, and an attacker cannot choose the bytes that are compared.
     holders: Option<HashMap<[u8; 32], Arc<KeyHolder>>>,
 }
 
 impl RoutingTable {
-    /// Compiles a checked document.
+    /// Compiles a validated document.
     pub fn new(document: RoutingDocument) -> Self {
         let mut hosts: HashMap<String, Vec<Arc<RouteSpec>>> = HashMap::new();
         for route in document.routes {
@@ -67,29 +67,29 @@
         self.revision
     }
 
-    /// Returns what callers may send.
+    /// Returns the limits on callers' requests.
     pub fn limits(&self) -> &IngressLimits {
         &self.limits
     }
 
-    /// Returns the route of a host and path: the one with the longest prefix.
+    /// Returns the route with the longest prefix that matches a host and path. Ignores a port in `host`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<RouteSpec>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = self.hosts.get(&name.to_ascii_lowercase())?;
         routes.iter().find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// Returns whether the document has client accounts, so that requests need keys.
+    /// Returns whether requests need keys, which holds if the document has client accounts.
     pub fn needs_keys(&self) -> bool {
         self.holders.is_some()
     }
 
-    /// Returns who holds a key.
+    /// Returns the account that a key belongs to.
     pub fn holder(&self, key: &str) -> Option<&Arc<KeyHolder>> {
         self.holders.as_ref()?.get(&hash(key))
     }
 
-    /// Returns a service.
+    /// Returns the service with the given name.
     pub fn service(&self, name: &ServiceName) -> Option<&Arc<ServiceSpec>> {
         self.services.get(name)
     }
@@ -99,16 +99,16 @@
         self.services.values()
     }
 
-    /// Returns how many routes there are.
+    /// Returns the number of routes.
     pub fn route_count(&self) -> usize {
         self.hosts.values().map(Vec::len).sum()
     }
 
-    /// Chooses one of a route's services by their weights; `draw` is uniform over all of `u64`.
+    /// Selects one of a route's services by weight. `draw` is a uniformly random `u64`.
     ///
     /// # Panics
     ///
-    /// Panics when the weights add up to 0, which a checked document rules out.
+    /// Panics when the weights add up to 0. Validation rejects such documents.
     pub fn choose_service(route: &RouteSpec, draw: u64) -> &ServiceName {
         let total: u64 = route.split.iter().map(|part| u64::from(part.weight)).sum();
         let mut rest = draw % total;
--- a/crates/routing/tests/documents.rs
+++ b/crates/routing/tests/documents.rs
@@ -1,4 +1,4 @@
-//! Documents are checked as a whole, looked up by the longest prefix, and never go back.
+//! Validation of routing documents, route and key lookups, and the order of revisions in the register.
 
 use std::time::Duration;
 
@@ -51,27 +51,27 @@
 }
 
 #[test]
-fn each_problem_is_found() {
+fn check_reports_each_kind_of_problem() {
     assert_eq!(document().check(), Ok(()));
-    let mut same = document();
-    same.routes.push(RouteSpec { host: "notas.EXAMPLE".into(), ..route("twin", "/notes/") });
-    assert!(matches!(same.check(), Err(DocumentProblem::SamePlace { .. })));
+    let mut duplicate = document();
+    duplicate.routes.push(RouteSpec { host: "notas.EXAMPLE".into(), ..route("twin", "/notes/") });
+    assert!(matches!(duplicate.check(), Err(DocumentProblem::DuplicateRoute { .. })));
     let mut unknown = document();
     unknown.routes[0].split[0].service = "nowhere".parse().unwrap();
     assert!(matches!(unknown.check(), Err(DocumentProblem::UnknownService { .. })));
-    let mut weightless = document();
-    weightless.routes[1].split[0].weight = 0;
-    assert!(matches!(weightless.check(), Err(DocumentProblem::NoWeight(_))));
-    let mut timeless = document();
-    timeless.routes[2].timeout = Duration::ZERO;
-    assert!(matches!(timeless.check(), Err(DocumentProblem::NoTimeout(_))));
+    let mut no_weight = document();
+    no_weight.routes[1].split[0].weight = 0;
+    assert!(matches!(no_weight.check(), Err(DocumentProblem::NoWeight(_))));
+    let mut no_timeout = document();
+    no_timeout.routes[2].timeout = Duration::ZERO;
+    assert!(matches!(no_timeout.check(), Err(DocumentProblem::NoTimeout(_))));
     let mut shared = document();
     shared.accounts.as_mut().unwrap()[1].keys.push("k1".into());
     assert!(matches!(shared.check(), Err(DocumentProblem::SharedKey { .. })));
 }
 
 #[test]
-fn the_longest_prefix_wins_and_hosts_ignore_case_and_port() {
+fn route_lookup_takes_the_longest_prefix_and_ignores_host_case_and_port() {
     let table = RoutingTable::new(document());
     let name = |path| table.route("notas.example:80", path).map(|route| route.name.as_str());
     assert_eq!(name("/notes/deep/x"), Some("deep"));
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_key_leads_to_its_account_only() {
+fn a_key_maps_to_its_own_account_only() {
     let table = RoutingTable::new(document());
     assert_eq!(table.holder("k2").unwrap().account.as_str(), "forro");
     assert_eq!(table.holder("k3").unwrap().account.as_str(), "frevo");
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn weights_share_the_requests() {
+fn requests_are_split_by_service_weights() {
     let mut split = route("split", "/s/");
     split.split = vec![
         WeightedService { service: "a".parse().unwrap(), weight: 90 },
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn the_register_never_goes_back() {
+fn the_register_rejects_equal_and_lower_revisions() {
     let mut register = RoutingRegister::default();
     let text = |revision, text: &str| RoutingText::pack(RoutingRevision(revision), text.as_bytes());
     assert_eq!(register.apply(text(5, "five")), RegisterOutcome::Accepted);
--- a/crates/routing/tests/drains.rs
+++ b/crates/routing/tests/drains.rs
@@ -1,4 +1,4 @@
-//! Commands to drain and restore data centres: repeated, delayed and superseded ones.
+//! Repeated, delayed and superseded commands to drain and restore data centres.
 
 use oriolepass_routing::{DrainCommand, DrainOutcome, DrainRegister, DrainRevision};
 
