--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -9,7 +9,7 @@
 //!
 //! A dozen requests run on an endpoint that ends, and one of them at most is the cause. An end that a
 //! quarantined request explains counts for nobody else, ends that nobody explains tell how likely ends by
-//! chance are, and a request that was answered whole is cleared. The judgement stands in `blame`, what it
+//! chance are, and a request that was answered whole is cleared. The judgement stands in `attribution`, what it
 //! draws on in `evidence`.
 //!
 //! A request that has lost an endpoint is a [`Standing::Suspect`] and is to be tried where the fewest
@@ -18,7 +18,7 @@
 //!
 //! Sans-IO: every call takes the present time, nothing here waits or knows a network.
 
-mod blame;
+mod attribution;
 mod case;
 mod digest;
 mod evidence;
--- a/crates/quarantine/src/table.rs
+++ b/crates/quarantine/src/table.rs
@@ -6,7 +6,7 @@
 
 use oriolepass_units::{EndpointStart, MonotonicTime};
 
-use crate::blame::{BlameVerdict, is_settled, judge};
+use crate::attribution::{BlameVerdict, is_settled, judge};
 use crate::case::{CaseUpdate, EndChange, RequestCase};
 use crate::digest::{AccountTag, RequestDigest};
 
