--- a/crates/quarantine/src/case.rs
+++ b/crates/quarantine/src/case.rs
@@ -1,4 +1,4 @@
-//! What is known of one request.
+//! Stores the ends of endpoints that were observed under one request.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,149 +8,159 @@
 
 use crate::digest::RequestDigest;
 
-/// Ends that are kept of one request: several times as many as quarantine it, and the trials of months.
-const MAX_ENDS: usize = 24;
+/// Maximum number of ends that are stored for one request. The limit is several times the number of ends
+/// that quarantine a request, and leaves room for months of trials.
+const MAX_ENDS_PER_REQUEST: usize = 24;
 
-/// Ends closer than this count as one. A request ends its endpoints one after the other, since it is sent
-/// to the next one when the last one is gone; what takes several at the same moment is a rack's power or
-/// an operator, and says nothing about requests.
-pub(crate) const SAME_MOMENT: Duration = Duration::from_millis(50);
+/// Ends within this interval count as one. A request terminates its endpoints one after the other, since it
+/// is sent to the next endpoint after the previous one has ended. Simultaneous ends have a common cause
+/// such as a rack's power failure or an operator, and are no evidence against a request.
+pub(crate) const COINCIDENCE_WINDOW: Duration = Duration::from_millis(50);
 
-/// Ends from which on a request is kept for long, also where it has been cleared since: it may come again,
-/// and whoever missed that it was released must not bring it back.
-const LASTING_ENDS: usize = 2;
+/// Minimum number of ends for [`DURABLE_RETENTION`]. It applies to cleared requests as well, since an
+/// instance that missed a release must not undo it when the request is repeated.
+const MIN_DURABLE_ENDS: usize = 2;
 
-/// How long that is, after its last end: a day, as many clients send the same once a day.
-const LASTING_KEPT: Duration = Duration::from_secs(24 * 3_600);
+/// Retention of a request with at least [`MIN_DURABLE_ENDS`] ends, after its last end: a day, since many
+/// clients send the same request once a day.
+const DURABLE_RETENTION: Duration = Duration::from_secs(24 * 3_600);
 
-/// How long a request under which one endpoint ended is suspected.
-const SUSPECT_KEPT: Duration = Duration::from_secs(10 * 60);
+/// Retention of a request under which one endpoint ended.
+const SUSPECT_RETENTION: Duration = Duration::from_secs(10 * 60);
 
-/// How long it is remembered that such a one was cleared: news of its end may come this late.
-const CLEARED_KEPT: Duration = Duration::from_secs(60);
+/// Retention of a cleared request under which one endpoint ended. Updates about its end may be delayed by
+/// this much.
+const CLEARED_RETENTION: Duration = Duration::from_secs(60);
 
-/// How much longer than a suspect a request is kept that was answered, where a table is full: the time in
-/// which most suspects lose their endpoints.
-const EVIDENCE_KEPT: Duration = Duration::from_secs(4);
+/// Time by which a full table keeps an answered request longer than a suspect. Most suspects lose their
+/// endpoints within this time.
+const ANSWERED_EVICTION_GRACE: Duration = Duration::from_secs(4);
 
-/// What an end changed.
+/// The effect of recording an end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum EndChange {
-    /// It was not known.
+    /// The end was not known.
     New,
-    /// It was seen a good while earlier than was known.
+    /// The end was known, but was first observed at least [`COINCIDENCE_WINDOW`] earlier.
     Earlier,
-    /// Nothing that counts.
+    /// The end was known, or the case is full.
     Known,
 }
 
-/// An endpoint that ended under a request, as one instance tells another.
+/// An endpoint that ended under a request, as sent between instances.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndUpdate {
-    /// The start that ended.
+    /// The endpoint's start that ended.
     pub endpoint: EndpointStart,
-    /// How long ago that was seen first.
+    /// The time since the end was first observed.
     pub age: Duration,
 }
 
-/// What one instance tells another of a request. May come in any order, twice, and late.
+/// The state of a request's case, as sent between instances. Updates may arrive in any order, more than
+/// once and late.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CaseUpdate {
     /// The request.
     pub digest: RequestDigest,
     /// The endpoints that ended under it.
     pub ends: Vec<EndUpdate>,
-    /// Those of them that were not its doing.
+    /// Endpoints whose end the request has been cleared of.
     pub cleared: Vec<EndpointStart>,
 }
 
-/// What is known of one request: two sets that only grow, so that they can be merged.
+/// The case of one request: two grow-only sets, which can be merged in any order.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct RequestCase {
-    /// The endpoints that ended under it, and when that was seen first.
+    /// The endpoints that ended under the request, with the time when the end was first observed.
     ends: BTreeMap<EndpointStart, MonotonicTime>,
-    /// Those that were not its doing, since it was answered whole afterwards or an operator says so.
+    /// Endpoints whose end the request has been cleared of, by a complete response or by an operator.
     cleared: BTreeSet<EndpointStart>,
-    /// When it was last sent although quarantined.
-    pub(crate) tried: Option<MonotonicTime>,
+    /// The time of the last trial while quarantined.
+    pub(crate) last_trial: Option<MonotonicTime>,
 }
 
 impl RequestCase {
-    /// Notes an end.
-    pub(crate) fn end(&mut self, endpoint: &EndpointStart, seen: MonotonicTime) -> EndChange {
+    /// Records an end.
+    pub(crate) fn record_end(
+        &mut self,
+        endpoint: &EndpointStart,
+        seen: MonotonicTime,
+    ) -> EndChange {
         if let Some(first) = self.ends.get_mut(endpoint) {
-            // What is told by others is some milliseconds off.
-            let is_earlier = first.since(seen) >= SAME_MOMENT;
+            // Times from other instances are inaccurate by some milliseconds.
+            let is_earlier = first.since(seen) >= COINCIDENCE_WINDOW;
             *first = seen.min(*first);
             return if is_earlier { EndChange::Earlier } else { EndChange::Known };
         }
-        if self.ends.len() >= MAX_ENDS {
+        if self.ends.len() >= MAX_ENDS_PER_REQUEST {
             return EndChange::Known;
         }
         self.ends.insert(endpoint.clone(), seen);
         EndChange::New
     }
 
-    /// Notes that an end was not its doing; returns whether it is news.
-    pub(crate) fn clear(&mut self, endpoint: &EndpointStart) -> bool {
-        self.cleared.len() < MAX_ENDS && self.cleared.insert(endpoint.clone())
+    /// Clears the request of one end. Returns whether the case changed.
+    pub(crate) fn clear_end(&mut self, endpoint: &EndpointStart) -> bool {
+        self.cleared.len() < MAX_ENDS_PER_REQUEST && self.cleared.insert(endpoint.clone())
     }
 
-    /// Clears the request of all its ends; returns whether there were any.
+    /// Clears the request of all open ends. Returns whether the case changed.
     pub(crate) fn clear_all(&mut self) -> bool {
-        let open: Vec<EndpointStart> = self.open().map(|(endpoint, _)| endpoint.clone()).collect();
-        open.iter().filter(|endpoint| self.clear(endpoint)).count() > 0
+        let open: Vec<EndpointStart> =
+            self.open_ends().map(|(endpoint, _)| endpoint.clone()).collect();
+        open.iter().filter(|endpoint| self.clear_end(endpoint)).count() > 0
     }
 
-    /// Returns the ends that may be its doing.
-    pub(crate) fn open(&self) -> impl Iterator<Item = (&EndpointStart, MonotonicTime)> {
+    /// Returns the open ends: those that the request has not been cleared of.
+    pub(crate) fn open_ends(&self) -> impl Iterator<Item = (&EndpointStart, MonotonicTime)> {
         let is_open = |endpoint: &EndpointStart| !self.cleared.contains(endpoint);
         self.ends.iter().filter(move |(e, _)| is_open(e)).map(|(e, seen)| (e, *seen))
     }
 
-    /// Returns all ends, also those that were not its doing.
+    /// Returns all ends, including cleared ones.
     pub(crate) fn ends(&self) -> impl Iterator<Item = (&EndpointStart, MonotonicTime)> {
         self.ends.iter().map(|(endpoint, seen)| (endpoint, *seen))
     }
 
-    /// Returns when the last end was seen that may be its doing.
-    pub(crate) fn last_end(&self) -> Option<MonotonicTime> {
-        self.open().map(|(_, seen)| seen).max()
+    /// Returns the time of the last open end.
+    pub(crate) fn last_open_end(&self) -> Option<MonotonicTime> {
+        self.open_ends().map(|(_, seen)| seen).max()
     }
 
-    /// Returns when the last end was seen, whoever's doing it was.
-    pub(crate) fn last_seen(&self) -> Option<MonotonicTime> {
+    /// Returns the time of the last end, open or cleared.
+    pub(crate) fn last_observed_end(&self) -> Option<MonotonicTime> {
         self.ends.values().copied().max()
     }
 
-    /// Returns until when the judgement draws on it: a suspect until its last end, and one that was answered
-    /// for as long as those need it that were suspects by then.
-    pub(crate) fn matters_until(&self) -> Option<MonotonicTime> {
-        let is_open = self.open().next().is_some();
-        let kept = if is_open { Duration::ZERO } else { EVIDENCE_KEPT };
-        self.last_seen().map(|seen| seen + kept)
+    /// Returns the time until which the attribution uses the case: for a suspect the time of its last end, and
+    /// for an answered request [`ANSWERED_EVICTION_GRACE`] later, since the requests that were suspects by
+    /// then still need it.
+    pub(crate) fn relevant_until(&self) -> Option<MonotonicTime> {
+        let is_open = self.open_ends().next().is_some();
+        let retention = if is_open { Duration::ZERO } else { ANSWERED_EVICTION_GRACE };
+        self.last_observed_end().map(|seen| seen + retention)
     }
 
-    /// Returns whether it is too old to matter. This follows from the facts alone: a table that still has
-    /// the case must not bring it back into one that has forgotten it.
-    pub(crate) fn is_over(&self, now: MonotonicTime) -> bool {
-        let is_open = self.open().next().is_some();
-        let kept = match (self.ends.len(), is_open) {
-            (LASTING_ENDS.., _) => LASTING_KEPT,
-            (_, true) => SUSPECT_KEPT,
-            (_, false) => CLEARED_KEPT,
+    /// Returns whether the retention of the case has passed. The result depends only on the recorded facts, so
+    /// that a table that still holds the case cannot restore it in a table that has dropped it.
+    pub(crate) fn is_expired(&self, now: MonotonicTime) -> bool {
+        let is_open = self.open_ends().next().is_some();
+        let retention = match (self.ends.len(), is_open) {
+            (MIN_DURABLE_ENDS.., _) => DURABLE_RETENTION,
+            (_, true) => SUSPECT_RETENTION,
+            (_, false) => CLEARED_RETENTION,
         };
-        self.last_seen().is_none_or(|last| now.since(last) >= kept)
+        self.last_observed_end().is_none_or(|last| now.since(last) >= retention)
     }
 
-    /// Returns whether the judgement on other requests draws on it when the process has ended: it lost
-    /// several endpoints, or was answered and shows that endpoints end by chance.
-    pub(crate) fn is_lasting(&self) -> bool {
-        self.ends.len() >= LASTING_ENDS || self.open().next().is_none()
+    /// Returns whether the attribution needs the case after a restart of the process: the request lost several
+    /// endpoints, or was answered and shows that endpoints end by chance.
+    pub(crate) fn is_durable(&self) -> bool {
+        self.ends.len() >= MIN_DURABLE_ENDS || self.open_ends().next().is_none()
     }
 
-    /// Returns everything, for another instance.
-    pub(crate) fn news(&self, now: MonotonicTime, digest: RequestDigest) -> CaseUpdate {
+    /// Returns the full state of the case, to be sent to another instance.
+    pub(crate) fn update(&self, now: MonotonicTime, digest: RequestDigest) -> CaseUpdate {
         let end = |(endpoint, seen): (&EndpointStart, &MonotonicTime)| EndUpdate {
             endpoint: endpoint.clone(),
             age: now.since(*seen),
@@ -163,17 +173,17 @@
     }
 }
 
-/// Counts ends by the moments at which they were seen.
-pub(crate) fn count_moments(seen: impl Iterator<Item = MonotonicTime>) -> usize {
-    let mut moments: Vec<MonotonicTime> = seen.collect();
-    moments.sort_unstable();
+/// Counts ends, with those within [`COINCIDENCE_WINDOW`] as one.
+pub(crate) fn count_distinct_times(seen: impl Iterator<Item = MonotonicTime>) -> usize {
+    let mut times: Vec<MonotonicTime> = seen.collect();
+    times.sort_unstable();
     let mut last: Option<MonotonicTime> = None;
-    moments.retain(|moment| {
-        let is_new = last.is_none_or(|last| moment.since(last) >= SAME_MOMENT);
-        if is_new {
-            last = Some(*moment);
+    times.retain(|time| {
+        let is_distinct = last.is_none_or(|last| time.since(last) >= COINCIDENCE_WINDOW);
+        if is_distinct {
+            last = Some(*time);
         }
-        is_new
+        is_distinct
     });
-    moments.len()
+    times.len()
 }
--- a/crates/quarantine/src/digest.rs
+++ b/crates/quarantine/src/digest.rs
@@ -1,4 +1,4 @@
-//! What makes two attempts the same request.
+//! Computes the digest that identifies a request across its attempts.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,24 +8,24 @@
 use sha2::{Digest, Sha256};
 use thiserror::Error;
 
-/// Bytes of a digest. The part after the account's tag is long enough that nobody makes two requests
-/// with the same one on purpose.
+/// Size of a digest in bytes. The part after the account's tag is long enough to resist deliberate
+/// collisions.
 const DIGEST_BYTES: usize = 20;
 
-/// Bytes of a digest that depend on the client account alone.
+/// Size of the digest's prefix that depends only on the client account.
 const TAG_BYTES: usize = 4;
 
-/// What stays the same when a request comes again.
+/// The parts of a request that identify it across its attempts.
 ///
-/// The caller's id and its headers do not. The client account belongs to it, so that no caller can
-/// bring another one's request into a bad name.
+/// The request id and the headers are not included, since they differ between attempts. The client
+/// account is included, so that no caller can incriminate another account's request.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestIdentity<'a> {
-    /// The client account that the caller's key belongs to.
+    /// The client account that the caller's key belongs to, if any.
     pub account: Option<&'a AccountId>,
-    /// The method.
+    /// The HTTP method.
     pub method: &'a str,
-    /// The host that the caller names.
+    /// The host that the request names.
     pub host: &'a str,
     /// The path with its query.
     pub path: &'a str,
@@ -34,12 +34,12 @@
 }
 
 impl RequestIdentity<'_> {
-    /// Computes the digest, at some nanoseconds a byte.
+    /// Computes the digest. The cost is a few nanoseconds per byte.
     pub fn digest(&self) -> RequestDigest {
         let account = self.account.map_or("", |account| account.as_str());
         let mut hasher = Sha256::new();
         for part in [account, self.method, self.host, self.path] {
-            // The lengths keep what belongs to one part from passing for the next one's.
+            // Length prefixes prevent collisions by moving bytes between adjacent parts.
             hasher.update(u64::try_from(part.len()).unwrap_or(u64::MAX).to_le_bytes());
             hasher.update(part.as_bytes());
         }
@@ -51,12 +51,12 @@
     }
 }
 
-/// Names a request across its attempts.
+/// Identifies a request across its attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestDigest([u8; DIGEST_BYTES]);
 
-/// Tells the requests of one client account from those of most others.
+/// A short hash of a client account. Different accounts may have the same tag.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AccountTag([u8; TAG_BYTES]);
 
@@ -75,7 +75,7 @@
     }
 }
 
-/// A text is no digest.
+/// A text is not a valid digest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("a request's digest has 40 hexadecimal digits; copy it whole from a log line")]
 pub struct DigestError;
--- a/crates/quarantine/src/evidence.rs
+++ b/crates/quarantine/src/evidence.rs
@@ -1,4 +1,4 @@
-//! Ends of endpoints in the order of time, and how likely each of them was by chance.
+//! Orders the ends of endpoints by time and estimates how likely each end is by chance.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -6,55 +6,56 @@
 
 use oriolepass_units::{EndpointStart, MonotonicTime};
 
-use crate::case::{RequestCase, SAME_MOMENT};
+use crate::case::{COINCIDENCE_WINDOW, RequestCase};
 use crate::digest::RequestDigest;
 
-/// Ends from which on a request may explain what another one lost.
+/// Minimum number of ends for a request to be an alternative explanation of another request's ends.
 const MIN_SUSPECT_ENDS: usize = 2;
 
-/// Runs, and ends by chance under them, that are assumed beside those observed: one run in a hundred where
-/// nothing is known of ends by chance.
-const ASSUMED_RUNS: f64 = 25.0;
-const ASSUMED_ENDS: f64 = 0.25;
+/// Pseudo-counts of runs and of ends by chance that are added to the observed counts. Without observations
+/// they give one end by chance in a hundred runs.
+const PSEUDO_RUNS: f64 = 25.0;
+const PSEUDO_ENDS: f64 = 0.25;
 
-/// The least probability that an end by chance falls into one run.
-const MIN_CHANCE: f64 = ASSUMED_ENDS / ASSUMED_RUNS;
+/// Minimum probability that a run is hit by an end by chance.
+const MIN_CHANCE_PROBABILITY: f64 = PSEUDO_ENDS / PSEUDO_RUNS;
 
-/// What a further end under a request adds to the ends by chance. More than one, as requests that are not
-/// known yet, or that are taken for a cause, are missing from the count.
+/// Weight in the count of ends by chance of each further end under a request. The weight is above 1 because
+/// requests that are not known yet or are regarded as causes are missing from the count.
 const REPEATED_END_WEIGHT: f64 = 1.5;
 
-/// Bounds of what one end adds: many requests on one endpoint end together, which is one observation, and an
-/// end under nobody who had lost an endpoint before is one as well.
+/// Bounds of the weight of one end. The end of an endpoint is one observation even if many requests ran on
+/// it, or if none of them had lost an endpoint before.
 const MIN_END_WEIGHT: f64 = 0.6;
 const MAX_END_WEIGHT: f64 = 3.0;
 
-/// How far from an end others tell how likely it was by chance.
+/// Maximum distance of the ends that are used to estimate the probability of an end by chance.
 const CHANCE_WINDOW: Duration = Duration::from_secs(10);
 
-/// Position of an end in the order of time.
+/// Index of an end in chronological order.
 pub(crate) type EndIndex = usize;
 
-/// A request under which several endpoints ended and that has not been answered since.
+/// A request with at least [`MIN_SUSPECT_ENDS`] open ends.
 #[derive(Debug)]
 pub(crate) struct SuspectEnds {
     pub(crate) digest: RequestDigest,
-    /// In the order of time.
+    /// The open ends in chronological order.
     pub(crate) ends: Vec<EndIndex>,
 }
 
-/// What all cases together say about ends of endpoints.
+/// The ends of endpoints in all cases.
 #[derive(Debug)]
 pub(crate) struct EndEvidence {
-    /// By digest.
+    /// Sorted by digest.
     pub(crate) suspects: Vec<SuspectEnds>,
     pub(crate) endpoints: Vec<EndpointStart>,
     seen: Vec<MonotonicTime>,
-    /// What each end adds to the ends by chance, unless a request explains it.
+    /// The weight of each end in the count of ends by chance, unless a request explains the end.
     weights: Vec<f64>,
-    /// Requests answered whole whose last end was before this one, and one more number for all.
+    /// For each end, the number of cleared requests whose last end was earlier. One more item
+    /// holds the total.
     answered_before: Vec<f64>,
-    /// The ends around each of them.
+    /// For each end, the range of ends within [`CHANCE_WINDOW`] of it.
     windows: Vec<Range<EndIndex>>,
 }
 
@@ -81,7 +82,7 @@
         for (digest, case) in cases {
             let all = sorted(case.ends().map(|(endpoint, _)| index[endpoint]));
             all.iter().skip(1).for_each(|end| repeated[*end] += REPEATED_END_WEIGHT);
-            let open = sorted(case.open().map(|(endpoint, _)| index[endpoint]));
+            let open = sorted(case.open_ends().map(|(endpoint, _)| index[endpoint]));
             if let (Some(last), true) = (all.last(), open.is_empty()) {
                 answered[*last] += 1.0;
             }
@@ -94,29 +95,29 @@
             suspects,
             endpoints: ordered.into_iter().map(|(_, endpoint)| endpoint.clone()).collect(),
             weights: repeated.into_iter().map(bounded).collect(),
-            answered_before: running_sums(answered),
+            answered_before: prefix_sums(answered),
             windows: seen.iter().map(|end| window_around(&seen, *end)).collect(),
             seen,
         }
     }
 
-    /// Returns how surprising each end is where it is due to chance: the negative natural logarithm of the
-    /// probability that a run of a request falls victim to such an end. Ends that `is_explained` marks are
-    /// due to requests, and say nothing about chance.
-    pub(crate) fn surprises(&self, is_explained: &[bool]) -> Vec<f64> {
+    /// Returns the surprisal of each end under the assumption that it happened by chance: the negative natural
+    /// logarithm of the probability that a run is hit by an end by chance. Ends that `is_explained` marks
+    /// are caused by requests and are not counted as ends by chance.
+    pub(crate) fn surprisals(&self, is_explained: &[bool]) -> Vec<f64> {
         let by_chance = |(weight, explained): (&f64, &bool)| if *explained { 0.0 } else { *weight };
-        let ends_before = running_sums(self.weights.iter().zip(is_explained).map(by_chance));
-        let surprise = |window: &Range<EndIndex>| {
+        let ends_before = prefix_sums(self.weights.iter().zip(is_explained).map(by_chance));
+        let surprisal = |window: &Range<EndIndex>| {
             let within = |sums: &[f64]| sums[window.end] - sums[window.start];
-            let ends = ASSUMED_ENDS + within(&ends_before);
-            let answered = ASSUMED_RUNS - ASSUMED_ENDS + within(&self.answered_before);
-            -(ends / (ends + answered)).max(MIN_CHANCE).ln()
+            let ends = PSEUDO_ENDS + within(&ends_before);
+            let answered = PSEUDO_RUNS - PSEUDO_ENDS + within(&self.answered_before);
+            -(ends / (ends + answered)).max(MIN_CHANCE_PROBABILITY).ln()
         };
-        self.windows.iter().map(surprise).collect()
+        self.windows.iter().map(surprisal).collect()
     }
 
-    /// Returns those of a suspect's ends that are left to explain, one for each moment: what ends several
-    /// endpoints at once is a rack or an operator.
+    /// Returns the unexplained ends of a suspect. Of ends within [`COINCIDENCE_WINDOW`] only the first is
+    /// returned, since simultaneous ends have a common cause such as a rack or an operator.
     pub(crate) fn unexplained<'a>(
         &'a self,
         suspect: &'a SuspectEnds,
@@ -125,15 +126,15 @@
         let mut last: Option<MonotonicTime> = None;
         suspect.ends.iter().copied().filter(|end| !is_explained[*end]).filter(move |end| {
             let seen = self.seen[*end];
-            let is_new = last.is_none_or(|last| seen.since(last) >= SAME_MOMENT);
-            if is_new {
+            let is_distinct = last.is_none_or(|last| seen.since(last) >= COINCIDENCE_WINDOW);
+            if is_distinct {
                 last = Some(seen);
             }
-            is_new
+            is_distinct
         })
     }
 
-    /// Returns a mark for each end, set where one of the suspects was.
+    /// Returns for each end whether one of the given suspects explains it.
     pub(crate) fn explained_by(&self, suspects: impl IntoIterator<Item = usize>) -> Vec<bool> {
         let mut is_explained = vec![false; self.seen.len()];
         for end in suspects.into_iter().flat_map(|suspect| &self.suspects[suspect].ends) {
@@ -143,9 +144,9 @@
     }
 }
 
-/// Returns how surprising an end by chance is where they are as rare as can be.
-pub(crate) fn max_surprise() -> f64 {
-    -MIN_CHANCE.ln()
+/// Returns the surprisal of an end by chance at the minimum probability.
+pub(crate) fn max_surprisal() -> f64 {
+    -MIN_CHANCE_PROBABILITY.ln()
 }
 
 fn sorted(ends: impl Iterator<Item = EndIndex>) -> Vec<EndIndex> {
@@ -154,8 +155,8 @@
     ends
 }
 
-/// Returns the sum of the values before each position, and of all.
-fn running_sums(values: impl IntoIterator<Item = f64>) -> Vec<f64> {
+/// Returns the sum of the values before each position, followed by the total.
+fn prefix_sums(values: impl IntoIterator<Item = f64>) -> Vec<f64> {
     let sums = values.into_iter().scan(0.0, |sum, value| {
         *sum += value;
         Some(*sum)
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,22 +1,23 @@
-//! Requests that end the endpoints that run them, told from those that merely ran beside them.
+//! Detects fatal requests: requests that terminate the endpoints that run them.
 //!
-//! A caller's id names one attempt, and a request that comes again has another one, perhaps at another
-//! instance. What stays the same is its [`RequestDigest`]. When an endpoint ends under a request, the
-//! instance that sees it notes the digest and the endpoint's start in its [`QuarantineTable`], and tells
-//! the others. Such a note is a fact that never becomes untrue, so tables are sets: they can be merged
-//! in any order, twice, and late, and all instances come to the same judgement without agreeing on
-//! anything.
+//! A request id identifies one attempt. A repeated request has another id and may arrive at another
+//! instance, but its [`RequestDigest`] stays the same. When an endpoint ends while it runs a request, the
+//! instance that observes the end records the digest and the endpoint's start in its [`QuarantineTable`]
+//! and sends the record to the other instances. A record never becomes invalid, so tables are grow-only
+//! sets. Updates can be merged in any order, more than once and late, and all instances reach the same
+//! result without consensus.
 //!
-//! A dozen requests run on an endpoint that ends, and one of them at most is the cause. An end that a
-//! quarantined request explains counts for nobody else, ends that nobody explains tell how likely ends by
-//! chance are, and a request that was answered whole is cleared. The judgement stands in `attribution`, what it
-//! draws on in `evidence`.
+//! About a dozen requests run on an endpoint when it ends, and at most one of them is the cause. An end
+//! that a quarantined request explains does not count against other requests. Ends that no request
+//! explains give the rate of ends by chance. A complete response clears a request of its earlier ends.
+//! The module `attribution` decides which requests are fatal, and the module `evidence` prepares the
+//! data for the decision.
 //!
-//! A request that has lost an endpoint is a [`Standing::Suspect`] and is to be tried where the fewest
-//! others run; one that has ended several is [`Standing::Quarantined`] and is not sent any more, but for
-//! a trial after a long time.
+//! A request under which an endpoint ended is a [`Standing::Suspect`] and is to be placed where the fewest
+//! other requests run. A request that terminated several endpoints is [`Standing::Quarantined`]: it is no
+//! longer sent, except for rare trials.
 //!
-//! Sans-IO: every call takes the present time, nothing here waits or knows a network.
+//! The crate does no I/O and reads no clock: every call takes the current time.
 
 mod attribution;
 mod case;
--- a/crates/routing/src/drains.rs
+++ b/crates/routing/src/drains.rs
@@ -1,4 +1,5 @@
-//! The replicated register of drained data centres. Endpoints of a drained data centre receive no new requests.
+//! The replicated register of drained data centres. Endpoints of a drained data centre receive no new
+//! requests.
 
 use std::collections::BTreeMap;
 use std::fmt;
