--- a/crates/quarantine/tests/digest.rs
+++ b/crates/quarantine/tests/digest.rs
@@ -1,4 +1,4 @@
-//! What makes two attempts the same request, and what keeps two requests apart.
+//! The parts of a request that its digest depends on, and the text form of digests.
 
 use oriolepass_quarantine::{RequestDigest, RequestIdentity};
 use oriolepass_units::AccountId;
@@ -7,7 +7,7 @@
     RequestIdentity { account: None, method: "POST", host: "h", path: "/a/b?c=1", body: b"hi" };
 
 #[test]
-fn the_same_request_has_the_same_digest_and_any_other_another_one() {
+fn equal_requests_have_equal_digests_and_different_requests_do_not() {
     let (one, two): (AccountId, AccountId) = ("one".parse().unwrap(), "two".parse().unwrap());
     let all = [
         PLAIN,
@@ -17,7 +17,7 @@
         RequestIdentity { host: "i", ..PLAIN },
         RequestIdentity { path: "/a/b?c=2", ..PLAIN },
         RequestIdentity { body: b"ho", ..PLAIN },
-        // What ends one part must not begin the next one.
+        // Bytes moved between adjacent parts must change the digest.
         RequestIdentity { host: "h/", path: "a/b?c=1", ..PLAIN },
         RequestIdentity { path: "/a/b?c=1h", body: b"i", ..PLAIN },
     ];
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_tag_is_that_of_the_account() {
+fn the_tag_depends_on_the_account_only() {
     let (one, two): (AccountId, AccountId) = ("one".parse().unwrap(), "two".parse().unwrap());
     let of = |account, body| {
         RequestIdentity { account: Some(account), body, ..PLAIN }.digest().account()
@@ -40,10 +40,10 @@
 }
 
 #[test]
-fn a_digest_is_read_back_as_it_was_written() {
+fn digests_round_trip_through_text_and_invalid_texts_are_rejected() {
     let digest = PLAIN.digest();
     assert_eq!(digest.to_string().parse::<RequestDigest>(), Ok(digest));
-    for wrong in ["", "12", &"é".repeat(20), &"zz".repeat(20), &"+1".repeat(20)] {
-        assert!(wrong.parse::<RequestDigest>().is_err(), "{wrong}");
+    for invalid in ["", "12", &"é".repeat(20), &"zz".repeat(20), &"+1".repeat(20)] {
+        assert!(invalid.parse::<RequestDigest>().is_err(), "{invalid}");
     }
 }
--- a/crates/quarantine/tests/evidence.rs
+++ b/crates/quarantine/tests/evidence.rs
@@ -1,11 +1,11 @@
-//! What the judgement draws on: ends by chance that other requests survived, and how long they are known.
+//! The effect of ends by chance on quarantines, and the retention of the cases that show them.
 
 use oriolepass_quarantine::{
     CaseUpdate, QuarantineTable, RequestDigest, RequestIdentity, Standing,
 };
 use oriolepass_units::{EndpointStart, MonotonicTime};
 
-/// Far from zero, so that earlier moments can be told.
+/// Offset of the test clock, so that ends before a test's start have valid times.
 const START_S: u64 = 864_000;
 
 fn at(millis: u64) -> MonotonicTime {
@@ -25,16 +25,16 @@
     matches!(table.standing(at(millis), request), Standing::Quarantined { .. })
 }
 
-/// Lets `request` lose one endpoint a second, four in all.
-fn lose_four(table: &mut QuarantineTable, request: RequestDigest) {
+/// Records four ends under `request`, one per second.
+fn record_four_ends(table: &mut QuarantineTable, request: RequestDigest) {
     for second in 1..=4 {
         table.record_end(at(second * 1_000), request, &endpoint(second));
     }
 }
 
-/// A table of `requests` others that each lost three endpoints of their own within four seconds and were
-/// then answered, and of request 0 that lost four and was not.
-fn in_a_storm(requests: u64) -> QuarantineTable {
+/// Returns a table with `requests` requests that each lost three endpoints of their own within four seconds
+/// and were then answered, and with request 0, which lost four endpoints and was not answered.
+fn with_frequent_chance_ends(requests: u64) -> QuarantineTable {
     let mut table = QuarantineTable::default();
     for request in 1..=requests {
         for number in 0..3 {
@@ -43,23 +43,24 @@
         }
         table.clear_request(at(4_000), digest(request));
     }
-    lose_four(&mut table, digest(0));
+    record_four_ends(&mut table, digest(0));
     table
 }
 
-/// Guards against blaming a request for ends that all others survive as well.
+/// Guards against the quarantine of a request for ends by chance that other requests survived as well.
 #[test]
-fn a_request_is_quarantined_for_four_ends_on_a_calm_day_and_not_in_a_storm() {
-    let mut calm = QuarantineTable::default();
-    lose_four(&mut calm, digest(0));
-    assert!(is_quarantined(&calm, 4_000, digest(0)));
-    assert!(!is_quarantined(&in_a_storm(20), 60_000, digest(0)));
+fn four_ends_quarantine_a_request_only_where_ends_by_chance_are_rare() {
+    let mut rare_chance_ends = QuarantineTable::default();
+    record_four_ends(&mut rare_chance_ends, digest(0));
+    assert!(is_quarantined(&rare_chance_ends, 4_000, digest(0)));
+    assert!(!is_quarantined(&with_frequent_chance_ends(20), 60_000, digest(0)));
 }
 
-/// Guards against a restart of all daemons that remembers the ends of a storm and forgets that it was one.
+/// Guards against a loss of the evidence of ends by chance when all daemons restart, while the ends of
+/// suspects are restored.
 #[test]
-fn what_shows_a_storm_survives_on_a_disk() {
-    let kept = in_a_storm(20).durable_updates(at(5_000));
+fn evidence_of_ends_by_chance_is_stored_durably() {
+    let kept = with_frequent_chance_ends(20).durable_updates(at(5_000));
     let mut next = QuarantineTable::default();
     kept.iter().for_each(|case| {
         next.merge(at(5_000), case);
@@ -67,33 +68,36 @@
     assert!(!is_quarantined(&next, 60_000, digest(0)));
 }
 
-/// Guards against full tables that bring back to each other what the other one has evicted.
+/// Guards against full tables that restore each other's evicted cases.
 #[test]
-fn full_tables_keep_the_same_requests_in_whatever_order_they_learn_of_them() {
-    let news: Vec<CaseUpdate> = (0..400)
+fn full_tables_keep_the_same_cases_regardless_of_merge_order() {
+    let updates: Vec<CaseUpdate> = (0..400)
         .filter_map(|number| {
             let mut table = QuarantineTable::default();
             table.record_end(at(number * 10), digest(number), &endpoint(number))
         })
         .collect();
-    let learn = |news: &mut dyn Iterator<Item = &CaseUpdate>| {
+    let merge_all = |updates: &mut dyn Iterator<Item = &CaseUpdate>| {
         let mut table = QuarantineTable::default();
-        news.for_each(|case| {
+        updates.for_each(|case| {
             table.merge(at(10_000), case);
         });
         table
     };
-    let forwards = learn(&mut news.iter());
-    let mut backwards = learn(&mut news.iter().rev());
+    let forwards = merge_all(&mut updates.iter());
+    let mut backwards = merge_all(&mut updates.iter().rev());
     assert_eq!(forwards.list(at(10_000)), backwards.list(at(10_000)));
-    let told = forwards.updates(at(10_000));
-    assert!(told.iter().all(|case| !backwards.merge(at(10_000), case)), "nothing is news");
+    let all_updates = forwards.updates(at(10_000));
+    assert!(
+        all_updates.iter().all(|case| !backwards.merge(at(10_000), case)),
+        "no update changes the other table"
+    );
 }
 
-/// Guards against the loss of what shows a storm while the requests that are judged by it stay.
+/// Guards against the eviction of the evidence of ends by chance while suspects that depend on it are kept.
 #[test]
-fn a_request_is_not_quarantined_when_the_storm_that_it_met_is_forgotten() {
-    let mut table = in_a_storm(20);
+fn a_request_is_not_quarantined_when_evidence_of_ends_by_chance_is_evicted() {
+    let mut table = with_frequent_chance_ends(20);
     for number in 0..400 {
         table.record_end(
             at(20_000 + number * 10),
--- a/crates/quarantine/tests/random_worlds.rs
+++ b/crates/quarantine/tests/random_worlds.rs
@@ -1,133 +1,134 @@
-//! Randomised runs: fatal requests are given up in time, and no other one is.
+//! Randomized simulations: fatal requests are quarantined in time, and no other requests are.
 //!
-//! `ORIOLEPASS_SEEDS=10000 cargo test --release -p oriolepass-quarantine --test random_worlds` for long runs.
+//! For long runs: `ORIOLEPASS_SEEDS=10000 cargo test --release -p oriolepass-quarantine --test random_worlds`.
 
 mod world;
 
 use world::{World, WorldReport, WorldShape};
 
-/// Sends by instances in touch that the third end of a request may be followed by.
-const LATE_SENDS: u64 = 3;
+/// Maximum number of sends by connected instances after a fatal request's third end.
+const MAX_LATE_SENDS: u64 = 3;
 
-/// Small deployments: the sheets' own, with fewer others so that a run is short.
+/// Small deployments, with a low rate of other requests to keep the simulations short.
 const SMALL: WorldShape = WorldShape {
     instances: 9,
     endpoints: 14,
     fatal: 2,
-    others_a_second: 30,
-    chance_end_every_ms: 15_000,
-    disturbance_every_ms: 5_000,
-    all_killed_every_ms: 50_000,
-    one_lost_in: 50,
-    lasts_ms: 40_000,
+    others_per_s: 30,
+    chance_end_interval_ms: 15_000,
+    disturbance_interval_ms: 5_000,
+    kill_all_interval_ms: 50_000,
+    messages_per_loss: 50,
+    duration_ms: 40_000,
 };
 
 /// Large deployments.
 const LARGE: WorldShape = WorldShape {
     instances: 200,
     endpoints: 112,
-    others_a_second: 200,
-    disturbance_every_ms: 1_000,
-    lasts_ms: 15_000,
+    others_per_s: 200,
+    disturbance_interval_ms: 1_000,
+    duration_ms: 15_000,
     ..SMALL
 };
 
-fn seeds(otherwise: u64) -> std::ops::Range<u64> {
+fn seeds(default_count: u64) -> std::ops::Range<u64> {
     let count = std::env::var("ORIOLEPASS_SEEDS").ok().and_then(|text| text.parse().ok());
-    0..count.unwrap_or(otherwise)
+    0..count.unwrap_or(default_count)
 }
 
-fn play(shape: WorldShape, seeds: std::ops::Range<u64>) -> Vec<(u64, WorldReport)> {
+fn run(shape: WorldShape, seeds: std::ops::Range<u64>) -> Vec<(u64, WorldReport)> {
     seeds.map(|seed| (seed, World::new(seed, shape).run())).collect()
 }
 
 fn check(reports: &[(u64, WorldReport)]) {
     let sum = |of: fn(&WorldReport) -> usize| -> usize { reports.iter().map(|(_, r)| of(r)).sum() };
     let ends: u64 = reports.iter().flat_map(|(_, r)| &r.ends).sum();
-    let most = reports.iter().flat_map(|(_, r)| &r.late_sends).max().copied().unwrap_or(0);
+    let max_late_sends =
+        reports.iter().flat_map(|(_, r)| &r.late_sends).max().copied().unwrap_or(0);
     println!(
-        "{} runs: {ends} ends, {most} late sends at most, {} unknown, {} others of which {} were refused and {} never served, {} cut",
+        "{} runs: {ends} ends, at most {max_late_sends} late sends, {} fatal requests not quarantined, {} others of which {} were refused and {} never served, {} streams cut",
         reports.len(),
-        sum(|r| r.fatal_unknown),
+        sum(|r| r.fatal_not_quarantined),
         sum(|r| r.others),
         sum(|r| r.innocent_refused),
         sum(|r| r.innocent_unserved),
-        sum(|r| r.cut),
+        sum(|r| r.cut_streams),
     );
-    let broken: Vec<_> = reports
+    let failed: Vec<_> = reports
         .iter()
         .filter(|(_, r)| {
-            r.late_sends.iter().any(|late| *late > LATE_SENDS)
-                || r.fatal_unknown > 0
+            r.late_sends.iter().any(|late| *late > MAX_LATE_SENDS)
+                || r.fatal_not_quarantined > 0
                 || r.innocent_quarantined > 0
                 || r.innocent_unserved > 0
         })
         .collect();
     assert!(
-        broken.is_empty(),
+        failed.is_empty(),
         "{} of {}: {:#?}",
-        broken.len(),
+        failed.len(),
         reports.len(),
-        &broken[..broken.len().min(3)]
+        &failed[..failed.len().min(3)]
     );
 }
 
 #[test]
-fn fatal_requests_are_given_up_and_no_others() {
-    check(&play(SMALL, seeds(300)));
+fn only_fatal_requests_are_quarantined() {
+    check(&run(SMALL, seeds(300)));
 }
 
 #[test]
-fn several_fatal_requests_at_once_do_not_hide_behind_each_other() {
-    check(&play(WorldShape { fatal: 4, ..SMALL }, seeds(100)));
+fn concurrent_fatal_requests_do_not_mask_each_other() {
+    check(&run(WorldShape { fatal: 4, ..SMALL }, seeds(100)));
 }
 
-/// Seeds of the long runs in which a request that ends nobody is refused until its caller gives up: it lost
-/// three to five endpoints to chance and to fatal requests that were not known yet.
+/// Guards against the permanent refusal of an innocent request. In these seeds, the request loses three to
+/// five endpoints to chance and to fatal requests that are not known yet.
 #[test]
-fn no_other_request_is_refused_for_good_in_the_seeds_that_showed_it() {
-    check(&play(SMALL, 908..909));
+fn innocent_requests_are_not_refused_permanently_in_regression_seeds() {
+    check(&run(SMALL, 908..909));
     for seed in [257, 260, 639] {
-        check(&play(WorldShape { fatal: 4, ..SMALL }, seed..seed + 1));
+        check(&run(WorldShape { fatal: 4, ..SMALL }, seed..seed + 1));
     }
 }
 
 #[test]
-fn ends_by_chance_give_nobody_up() {
-    let stormy = WorldShape { fatal: 0, chance_end_every_ms: 4_000, ..SMALL };
-    check(&play(stormy, seeds(100)));
+fn ends_by_chance_quarantine_no_request() {
+    let frequent = WorldShape { fatal: 0, chance_end_interval_ms: 4_000, ..SMALL };
+    check(&run(frequent, seeds(100)));
 }
 
 #[test]
-fn two_hundred_instances_know_of_a_fatal_request_in_time() {
+fn large_deployments_quarantine_fatal_requests_in_time() {
     let count = seeds(2).end.min(50);
-    check(&play(LARGE, 0..count));
-    check(&play(WorldShape { instances: 360, ..LARGE }, 0..count));
+    check(&run(LARGE, 0..count));
+    check(&run(WorldShape { instances: 360, ..LARGE }, 0..count));
 }
 
-/// The small deployments with one end by chance upon the other.
-const HARSH: WorldShape = WorldShape { chance_end_every_ms: 4_000, ..SMALL };
+/// Small deployments with frequent ends by chance.
+const HARSH: WorldShape = WorldShape { chance_end_interval_ms: 4_000, ..SMALL };
 
 #[test]
-fn fatal_requests_amid_many_ends_by_chance_are_given_up_and_no_others() {
-    check(&play(HARSH, seeds(300)));
+fn only_fatal_requests_are_quarantined_amid_frequent_ends_by_chance() {
+    check(&run(HARSH, seeds(300)));
 }
 
 #[test]
-fn six_fatal_requests_amid_many_ends_by_chance_do_not_hide_behind_each_other() {
-    check(&play(WorldShape { fatal: 6, ..HARSH }, seeds(100)));
+fn six_fatal_requests_amid_frequent_ends_by_chance_do_not_mask_each_other() {
+    check(&run(WorldShape { fatal: 6, ..HARSH }, seeds(100)));
 }
 
 #[test]
-fn a_storm_of_ends_by_chance_gives_nobody_up() {
-    let storm = WorldShape { fatal: 0, chance_end_every_ms: 300, ..SMALL };
-    check(&play(storm, seeds(100)));
+fn very_frequent_ends_by_chance_quarantine_no_request() {
+    let very_frequent = WorldShape { fatal: 0, chance_end_interval_ms: 300, ..SMALL };
+    check(&run(very_frequent, seeds(100)));
 }
 
 #[test]
-fn hundreds_of_instances_that_are_all_killed_again_and_again_know_of_a_fatal_request_in_time() {
-    let large = WorldShape { all_killed_every_ms: 10_000, ..LARGE };
+fn large_deployments_quarantine_fatal_requests_in_time_when_all_instances_are_killed_repeatedly() {
+    let large = WorldShape { kill_all_interval_ms: 10_000, ..LARGE };
     let count = seeds(2).end.min(50);
-    check(&play(large, 0..count));
-    check(&play(WorldShape { instances: 360, ..large }, 0..count));
+    check(&run(large, 0..count));
+    check(&run(WorldShape { instances: 360, ..large }, 0..count));
 }
--- a/crates/quarantine/tests/table.rs
+++ b/crates/quarantine/tests/table.rs
@@ -1,4 +1,4 @@
-//! Tables of facts: merged in any order they are the same, and what is forgotten stays forgotten.
+//! Quarantine tables: standings, merges in any order, trials, retention and limits per account.
 
 use oriolepass_quarantine::{
     CaseUpdate, QuarantineTable, RequestDigest, RequestIdentity, Standing,
@@ -6,11 +6,11 @@
 use oriolepass_units::{AccountId, EndpointStart, MonotonicTime};
 use proptest::prelude::*;
 
-/// Far from zero, so that earlier moments can be told.
-const DAYS: u64 = 10 * 24 * 3_600;
+/// Offset of the test clock, so that ends before a test's start have valid times.
+const START_S: u64 = 10 * 24 * 3_600;
 
 fn at(seconds: u64) -> MonotonicTime {
-    MonotonicTime((DAYS + seconds) * 1_000_000)
+    MonotonicTime((START_S + seconds) * 1_000_000)
 }
 
 fn digest(number: usize) -> RequestDigest {
@@ -32,7 +32,7 @@
     matches!(standing, Standing::Quarantined { .. })
 }
 
-/// A table in which `request` ended endpoints at these seconds.
+/// Returns a table in which an endpoint ended under `request` at each of the given seconds.
 fn with_ends(request: RequestDigest, seconds: &[u64]) -> QuarantineTable {
     let mut table = QuarantineTable::default();
     for (number, second) in seconds.iter().enumerate() {
@@ -41,32 +41,36 @@
     table
 }
 
-fn tell(from: &QuarantineTable, to: &mut QuarantineTable, now: MonotonicTime) -> bool {
+fn send_all(from: &QuarantineTable, to: &mut QuarantineTable, now: MonotonicTime) -> bool {
     from.updates(now).iter().filter(|case| to.merge(now, case)).count() > 0
 }
 
 #[test]
-fn a_whole_answer_clears_a_request_and_an_end_after_it_counts_anew() {
+fn a_complete_response_clears_earlier_ends_but_not_later_ones() {
     let mut table = with_ends(digest(1), &[0, 1]);
     assert_eq!(table.standing(at(2), digest(1)), Standing::Suspect);
     assert!(table.clear_request(at(2), digest(1)).is_some());
-    assert!(table.clear_request(at(2), digest(1)).is_none(), "no news");
+    assert!(table.clear_request(at(2), digest(1)).is_none(), "already cleared");
     assert_eq!(table.standing(at(2), digest(1)), Standing::Clear);
     table.record_end(at(3), digest(1), &endpoint(7));
     assert_eq!(table.standing(at(3), digest(1)), Standing::Suspect);
 }
 
 #[test]
-fn what_ends_at_one_moment_is_one_end() {
+fn simultaneous_ends_count_as_one() {
     let mut table = QuarantineTable::default();
     (0..8).for_each(|number| {
         table.record_end(at(1), digest(1), &endpoint(number));
     });
-    assert_eq!(table.standing(at(2), digest(1)), Standing::Suspect, "a rack lost its power");
+    assert_eq!(
+        table.standing(at(2), digest(1)),
+        Standing::Suspect,
+        "simultaneous ends have a common cause, such as a rack's power failure"
+    );
 }
 
 #[test]
-fn requests_that_were_at_the_same_ends_are_not_told_apart_by_them() {
+fn requests_with_the_same_ends_are_not_quarantined_until_another_end_distinguishes_them() {
     let mut table = with_ends(digest(1), &[0, 1, 2]);
     for (number, second) in [0, 1, 2].into_iter().enumerate() {
         table.record_end(at(second), digest(2), &endpoint(number));
@@ -74,12 +78,19 @@
     assert!(!is_quarantined(table.standing(at(3), digest(1))));
     assert!(!is_quarantined(table.standing(at(3), digest(2))));
     table.record_end(at(4), digest(2), &endpoint(9));
-    assert!(is_quarantined(table.standing(at(4), digest(2))), "one more end tells");
-    assert_eq!(table.standing(at(4), digest(1)), Standing::Clear, "and explains the others");
+    assert!(
+        is_quarantined(table.standing(at(4), digest(2))),
+        "one more end distinguishes the requests"
+    );
+    assert_eq!(
+        table.standing(at(4), digest(1)),
+        Standing::Clear,
+        "the quarantined request explains the shared ends"
+    );
 }
 
 #[test]
-fn trials_are_far_apart_and_farther_each_time() {
+fn trial_intervals_double_after_each_failed_trial() {
     let mut table = with_ends(digest(1), &[0, 1, 2]);
     let trial_in = |table: &QuarantineTable, second| match table.standing(at(second), digest(1)) {
         Standing::Quarantined { trial_in } => trial_in.as_secs(),
@@ -87,7 +98,7 @@
     };
     assert_eq!((trial_in(&table, 2), trial_in(&table, 602)), (600, 0));
     table.begin_trial(at(700), digest(1));
-    assert_eq!(trial_in(&table, 700), 600, "one at a time");
+    assert_eq!(trial_in(&table, 700), 600, "the start of a trial restarts the interval");
     table.record_end(at(701), digest(1), &endpoint(20));
     assert_eq!(trial_in(&table, 701), 1_200);
     let trials = (0..24 * 3_600).fold((table, 0), |(mut table, count), second| {
@@ -101,42 +112,45 @@
 }
 
 #[test]
-fn what_is_too_old_is_not_brought_back_by_one_that_still_has_it() {
+fn expired_cases_are_not_restored_by_a_table_that_still_holds_them() {
     let old = with_ends(digest(1), &[0]);
     let mut table = with_ends(digest(1), &[0]);
     table.expire(at(599));
     assert!(!table.is_empty());
     table.expire(at(601));
     assert!(table.is_empty());
-    assert!(!tell(&old, &mut table, at(602)));
+    assert!(!send_all(&old, &mut table, at(602)));
     assert!(table.is_empty());
     let mut cleared = with_ends(digest(1), &[0]);
     cleared.clear_request(at(1), digest(1));
     cleared.expire(at(61));
-    assert!(cleared.is_empty(), "most of what is noted is cleared within seconds");
+    assert!(
+        cleared.is_empty(),
+        "cleared cases expire after a minute, since most cases are cleared within seconds"
+    );
 }
 
 #[test]
-fn a_release_holds_against_one_that_missed_it() {
+fn a_release_is_not_undone_by_a_table_that_missed_it() {
     let old = with_ends(digest(1), &[0, 1, 2]);
     let mut table = with_ends(digest(1), &[0, 1, 2]);
     table.clear_request(at(300), digest(1));
     table.expire(at(3_000));
-    tell(&old, &mut table, at(3_001));
+    send_all(&old, &mut table, at(3_001));
     assert_eq!(table.standing(at(3_001), digest(1)), Standing::Clear);
     let mut late = old;
-    tell(&table, &mut late, at(3_002));
+    send_all(&table, &mut late, at(3_002));
     assert_eq!(late.standing(at(3_002), digest(1)), Standing::Clear);
 }
 
 #[test]
-fn what_survives_on_a_disk_is_what_lost_several_endpoints() {
+fn durable_updates_hold_the_requests_that_lost_several_endpoints() {
     let mut table = with_ends(digest(1), &[0, 1, 2]);
     table.record_end(at(5), digest(2), &endpoint(40));
     let kept = table.durable_updates(at(9));
     assert_eq!(kept.iter().map(|case| case.digest).collect::<Vec<_>>(), [digest(1)]);
     let mut next = QuarantineTable::default();
-    // The clock of the next process begins anew, and the ages still hold.
+    // The next process's clock starts at another time, and the ages in the updates remain valid.
     kept.iter().for_each(|case| {
         next.merge(at(0), case);
     });
@@ -144,7 +158,7 @@
 }
 
 #[test]
-fn an_account_with_many_requests_makes_nobody_else_forgotten() {
+fn an_account_with_many_cases_does_not_evict_cases_of_other_accounts() {
     let mut table = QuarantineTable::default();
     let quiet: Vec<RequestDigest> = (0..5).map(|n| of_account("quiet", n)).collect();
     for (number, request) in quiet.iter().enumerate() {
@@ -158,7 +172,7 @@
     assert!(quiet.iter().all(|request| kept.iter().any(|case| case.digest == *request)));
 }
 
-/// A fact about a request, seen by some instance.
+/// A fact about a request, observed by an instance.
 #[derive(Debug, Clone)]
 enum Fact {
     End { request: usize, endpoint: usize, second: u64 },
@@ -173,35 +187,35 @@
     ]
 }
 
-/// What an instance that learns these facts in this order tells of each.
-fn news_of(facts: &[Fact]) -> Vec<CaseUpdate> {
+/// Returns the updates that an instance sends when it records the facts in order.
+fn updates_of(facts: &[Fact]) -> Vec<CaseUpdate> {
     let mut table = QuarantineTable::default();
-    let learn = |fact: &Fact| match fact {
+    let record = |fact: &Fact| match fact {
         Fact::End { request, endpoint: number, second } => {
             table.record_end(at(*second), digest(*request), &endpoint(*number))
         }
         Fact::Clear { request } => table.clear_request(at(41), digest(*request)),
     };
-    let news: Vec<Option<CaseUpdate>> = facts.iter().map(learn).collect();
-    news.into_iter().flatten().collect()
+    let updates: Vec<Option<CaseUpdate>> = facts.iter().map(record).collect();
+    updates.into_iter().flatten().collect()
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn tables_that_know_the_same_judge_alike(
+    fn tables_with_the_same_facts_return_the_same_standings(
         facts in prop::collection::vec(fact(), 1..40),
         order in prop::collection::vec(any::<prop::sample::Index>(), 1..120),
     ) {
-        let news = news_of(&facts);
-        prop_assume!(!news.is_empty());
+        let updates = updates_of(&facts);
+        prop_assume!(!updates.is_empty());
         let (mut first, mut second) = (QuarantineTable::default(), QuarantineTable::default());
-        news.iter().for_each(|case| { first.merge(at(50), case); });
-        // In any order, some of it twice, and then all that the first one knows.
-        order.iter().for_each(|index| { second.merge(at(50), index.get(&news)); });
-        tell(&first, &mut second, at(50));
-        tell(&second, &mut first, at(50));
+        updates.iter().for_each(|case| { first.merge(at(50), case); });
+        // Merges the updates in random order with repetitions, and then the full state of the first table.
+        order.iter().for_each(|index| { second.merge(at(50), index.get(&updates)); });
+        send_all(&first, &mut second, at(50));
+        send_all(&second, &mut first, at(50));
         for request in 0..4 {
             prop_assert_eq!(first.standing(at(50), digest(request)), second.standing(at(50), digest(request)));
         }
--- a/crates/quarantine/tests/world/mod.rs
+++ b/crates/quarantine/tests/world/mod.rs
@@ -1,9 +1,9 @@
-//! Instances, endpoints and callers in logical time, around the real tables.
+//! Simulates instances, endpoints and callers in logical time around the real quarantine tables.
 //!
-//! News travels with delays and gets lost; instances are cut off, killed and start again, all of them at
-//! once too; endpoints end by chance, several at one moment, and under the fatal requests. Placement is as
-//! bad as it can be for the judgement: others gather on the same endpoints, and with the home away
-//! everything goes anywhere.
+//! Updates between instances are delayed and lost. Instances are partitioned, killed and restarted, also all
+//! of them at once. Endpoints end by chance, several of them simultaneously, and under fatal requests.
+//! Placement is the worst case for the attribution of ends: other requests are packed onto the same
+//! endpoints, and while the home is lost, requests are placed at random.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -17,65 +17,65 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 
-/// The time after which an instance that was disturbed counts as in touch again.
-const IN_TOUCH_AFTER_MS: u64 = 3_000;
+/// Time after a disturbance from which an instance counts as connected again.
+const RECONNECT_GRACE_MS: u64 = 3_000;
 
-/// A look at an endpoint that lost an answer.
-const LOOK_MS: u64 = 2;
+/// Delay between the end of an endpoint and its observation by the instance.
+const OBSERVATION_DELAY_MS: u64 = 2;
 
-/// The wait for the news of other instances before a request is refused.
-const NEWS_MS: u64 = 40;
+/// Wait for updates from other instances before a request is refused.
+const UPDATE_WAIT_MS: u64 = 40;
 
-/// Places of an endpoint.
-const SLOTS: usize = 12;
+/// Number of requests that an endpoint runs concurrently.
+const SLOTS_PER_ENDPOINT: usize = 12;
 
-/// How a world is made.
+/// The parameters of a simulation.
 #[derive(Debug, Clone, Copy)]
 pub struct WorldShape {
     pub instances: usize,
     pub endpoints: usize,
-    /// Fatal requests.
+    /// Number of fatal requests.
     pub fatal: usize,
-    /// Other requests a second.
-    pub others_a_second: u64,
-    /// Ends of endpoints by chance, one in so many milliseconds.
-    pub chance_end_every_ms: u64,
-    /// Disturbances of instances, one in so many milliseconds.
-    pub disturbance_every_ms: u64,
-    /// Kills of all instances at once, one in so many milliseconds.
-    pub all_killed_every_ms: u64,
-    /// One message in so many is lost, with the link.
-    pub one_lost_in: u32,
-    pub lasts_ms: u64,
+    /// Rate of other requests per second.
+    pub others_per_s: u64,
+    /// Interval between ends of endpoints by chance.
+    pub chance_end_interval_ms: u64,
+    /// Interval between disturbances of instances.
+    pub disturbance_interval_ms: u64,
+    /// Mean interval between kills of all instances at once.
+    pub kill_all_interval_ms: u64,
+    /// One message in this many is lost together with its link.
+    pub messages_per_loss: u32,
+    pub duration_ms: u64,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrive(usize),
-    /// The request runs on the endpoint's present start and ends it.
-    Fatal {
+    /// A fatal request terminates the given generation of the endpoint.
+    FatalEnd {
         endpoint: usize,
-        life: u64,
+        generation: u64,
     },
     Finish {
         request: usize,
         run: u64,
     },
-    /// An instance sees that an endpoint ended under a request.
-    Seen {
+    /// An instance observes that an endpoint ended under a request.
+    EndObserved {
         request: usize,
         instance: usize,
         boot: u64,
         endpoint: usize,
-        life: u64,
+        generation: u64,
     },
-    /// The next attempt of a request within its time.
-    Again(usize),
-    News {
+    /// An instance tries to send a waiting request again.
+    Retry(usize),
+    UpdatesArrive {
         to: usize,
         from: usize,
     },
-    Compare(usize),
+    Synchronize(usize),
     EndpointStarts(usize),
     ChanceEnd,
     Disturbance,
@@ -85,52 +85,54 @@
 
 struct Instance {
     table: QuarantineTable,
-    /// What it has to say to others is on its way to each of them.
+    /// Messages in transit to this instance by sender, with the time when each was sent.
     inbox: BTreeMap<usize, Vec<(u64, Vec<CaseUpdate>)>>,
     boot: u64,
     is_up: bool,
-    is_cut: bool,
+    is_partitioned: bool,
     disturbed_until: u64,
     disk: Option<Vec<CaseUpdate>>,
 }
 
 #[derive(Default)]
 struct Endpoint {
-    life: u64,
+    generation: u64,
     is_up: bool,
     running: BTreeSet<usize>,
-    /// Those of them that were sent as suspects.
+    /// The running requests that were sent as suspects.
     suspects: BTreeSet<usize>,
 }
 
 struct Request {
     digest: RequestDigest,
     is_fatal: bool,
-    /// Tries that its caller still makes; for ever where it is fatal.
-    tries: u32,
+    /// Remaining attempts of the caller; not used for fatal requests, which are repeated without end.
+    attempts_left: u32,
     run: u64,
-    at: Option<(usize, usize)>,
+    /// The instance and the endpoint that handle the request.
+    placement: Option<(usize, usize)>,
     is_served: bool,
 }
 
-/// What a run has shown.
+/// The results of a simulation.
 #[derive(Debug, Default)]
 pub struct WorldReport {
-    /// For each fatal request, the ends under it.
+    /// For each fatal request, the number of endpoints that it terminated.
     pub ends: Vec<u64>,
-    /// For each fatal request, sends by instances in touch a stable window after its third end.
+    /// For each fatal request, the number of sends by connected instances later than
+    /// [`RECONNECT_GRACE_MS`] after its third end.
     pub late_sends: Vec<u64>,
-    /// Fatal requests with three ends or more that are not quarantined when all news has come.
-    pub fatal_unknown: usize,
-    /// Others that are quarantined anywhere when all news has come.
+    /// Fatal requests with at least three ends that are not quarantined after all updates are merged.
+    pub fatal_not_quarantined: usize,
+    /// Other requests that are quarantined after all updates are merged.
     pub innocent_quarantined: usize,
-    /// Others that were refused at some time as quarantined.
+    /// Other requests that were refused at least once as quarantined.
     pub innocent_refused: usize,
-    /// Others that gave up unserved after they were refused so.
+    /// Other requests that were refused as quarantined and never served before their callers gave up.
     pub innocent_unserved: usize,
     pub others: usize,
-    /// Streams of others that ends have cut.
-    pub cut: usize,
+    /// Streams of other requests that were interrupted by ends of endpoints.
+    pub cut_streams: usize,
 }
 
 pub struct World {
@@ -138,12 +140,12 @@
     rng: StdRng,
     now: u64,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
-    number: u64,
+    event_count: u64,
     instances: Vec<Instance>,
     endpoints: Vec<Endpoint>,
     requests: Vec<Request>,
     third_end: Vec<Option<u64>>,
-    home_away_until: u64,
+    home_lost_until: u64,
     refused: BTreeSet<usize>,
     report: WorldReport,
 }
@@ -161,7 +163,7 @@
             inbox: BTreeMap::new(),
             boot: 0,
             is_up: true,
-            is_cut: false,
+            is_partitioned: false,
             disturbed_until: 0,
             disk: (number < 3).then(Vec::new),
         };
@@ -170,14 +172,14 @@
             rng: StdRng::seed_from_u64(seed),
             now: 0,
             events: BinaryHeap::new(),
-            number: 0,
+            event_count: 0,
             instances: (0..shape.instances).map(instance).collect(),
             endpoints: (0..shape.endpoints)
                 .map(|_| Endpoint { is_up: true, ..Endpoint::default() })
                 .collect(),
             requests: Vec::new(),
             third_end: vec![None; shape.fatal],
-            home_away_until: 0,
+            home_lost_until: 0,
             refused: BTreeSet::new(),
             report: WorldReport {
                 ends: vec![0; shape.fatal],
@@ -188,21 +190,21 @@
         for number in 0..shape.fatal {
             world.add_request(&format!("fatal {number}"), true);
             let first = world.rng.random_range(0..4_000);
-            world.at(first, Event::Arrive(number));
+            world.schedule(first, Event::Arrive(number));
         }
         for instance in 0..shape.instances {
             let first = world.rng.random_range(0..1_000);
-            world.at(first, Event::Compare(instance));
+            world.schedule(first, Event::Synchronize(instance));
         }
-        let others = shape.others_a_second * shape.lasts_ms / 1_000;
+        let others = shape.others_per_s * shape.duration_ms / 1_000;
         for number in 0..usize::try_from(others).expect("a count") {
             let request = world.add_request(&format!("other {number}"), false);
-            let when = world.rng.random_range(0..shape.lasts_ms);
-            world.at(when, Event::Arrive(request));
+            let when = world.rng.random_range(0..shape.duration_ms);
+            world.schedule(when, Event::Arrive(request));
         }
         world.report.others = usize::try_from(others).expect("a count");
-        world.at(shape.chance_end_every_ms, Event::ChanceEnd);
-        world.at(shape.disturbance_every_ms, Event::Disturbance);
+        world.schedule(shape.chance_end_interval_ms, Event::ChanceEnd);
+        world.schedule(shape.disturbance_interval_ms, Event::Disturbance);
         world
     }
 
@@ -210,17 +212,17 @@
         self.requests.push(Request {
             digest: digest(name),
             is_fatal,
-            tries: 4,
+            attempts_left: 4,
             run: 0,
-            at: None,
+            placement: None,
             is_served: false,
         });
         self.requests.len() - 1
     }
 
-    fn at(&mut self, after: u64, event: Event) {
-        self.number += 1;
-        self.events.push(Reverse((self.now + after, self.number, event)));
+    fn schedule(&mut self, after: u64, event: Event) {
+        self.event_count += 1;
+        self.events.push(Reverse((self.now + after, self.event_count, event)));
     }
 
     fn time(&self) -> MonotonicTime {
@@ -229,28 +231,28 @@
 
     pub fn run(mut self) -> WorldReport {
         while let Some(Reverse((at, _, event))) = self.events.pop() {
-            if at > self.shape.lasts_ms {
+            if at > self.shape.duration_ms {
                 break;
             }
             self.now = at;
             self.step(event);
         }
-        self.conclude()
+        self.evaluate()
     }
 
     fn step(&mut self, event: Event) {
         match event {
             Event::Arrive(request) => self.arrive(request),
-            Event::Again(request) => self.send(request),
-            Event::Fatal { endpoint, life } => self.end_endpoint(endpoint, life),
+            Event::Retry(request) => self.send(request),
+            Event::FatalEnd { endpoint, generation } => self.end_endpoint(endpoint, generation),
             Event::Finish { request, run } => self.finish(request, run),
-            Event::Seen { request, instance, boot, endpoint, life } => {
-                self.seen(request, instance, boot, endpoint, life);
+            Event::EndObserved { request, instance, boot, endpoint, generation } => {
+                self.observe_end(request, instance, boot, endpoint, generation);
             }
-            Event::News { to, from } => self.take_news(to, from),
-            Event::Compare(instance) => self.compare(instance),
+            Event::UpdatesArrive { to, from } => self.receive_updates(to, from),
+            Event::Synchronize(instance) => self.synchronize(instance),
             Event::EndpointStarts(endpoint) => {
-                self.endpoints[endpoint].life += 1;
+                self.endpoints[endpoint].generation += 1;
                 self.endpoints[endpoint].is_up = true;
             }
             Event::ChanceEnd => self.chance_end(),
@@ -260,22 +262,22 @@
         }
     }
 
-    /// A caller sends an attempt to some instance that is up.
+    /// Sends a caller's attempt to a random instance that is up.
     fn arrive(&mut self, request: usize) {
         if self.requests[request].is_fatal {
-            // It comes again from another caller before this one has an answer, now and then.
-            let again = self.rng.random_range(100..3_200);
-            self.at(again, Event::Arrive(request));
+            // Another caller repeats the request, sometimes before this attempt is answered.
+            let repeat_after = self.rng.random_range(100..3_200);
+            self.schedule(repeat_after, Event::Arrive(request));
         }
         let up: Vec<usize> =
             (0..self.instances.len()).filter(|i| self.instances[*i].is_up).collect();
         let Some(instance) = up.choose(&mut self.rng).copied() else {
             return self.fail(request);
         };
-        if self.requests[request].at.is_some() {
+        if self.requests[request].placement.is_some() {
             return;
         }
-        self.requests[request].at = Some((instance, usize::MAX));
+        self.requests[request].placement = Some((instance, usize::MAX));
         self.send(request);
     }
 
@@ -284,14 +286,17 @@
     }
 
     fn send(&mut self, request: usize) {
-        let Some((instance, _)) = self.requests[request].at else { return };
+        let Some((instance, _)) = self.requests[request].placement else { return };
         let standing = self.standing(instance, request);
         if let Standing::Quarantined { trial_in } = standing {
-            assert!(!trial_in.is_zero(), "no run is as long as the time to a trial");
+            assert!(
+                !trial_in.is_zero(),
+                "the simulation is shorter than the interval to the first trial"
+            );
             let last = self.instances[instance].table.last_end(self.requests[request].digest);
             let age = last.map_or(Duration::MAX, |at| self.time().since(at));
-            if age < Duration::from_millis(NEWS_MS) {
-                return self.at(NEWS_MS, Event::Again(request));
+            if age < Duration::from_millis(UPDATE_WAIT_MS) {
+                return self.schedule(UPDATE_WAIT_MS, Event::Retry(request));
             }
             if !self.requests[request].is_fatal {
                 self.refused.insert(request);
@@ -309,32 +314,36 @@
 
     fn begin_run(&mut self, request: usize, instance: usize, endpoint: usize) {
         let is_fatal = self.requests[request].is_fatal;
-        if is_fatal && self.third_end[request].is_some_and(|at| self.now > at + IN_TOUCH_AFTER_MS) {
+        if is_fatal && self.third_end[request].is_some_and(|at| self.now > at + RECONNECT_GRACE_MS)
+        {
             let entry = &self.instances[instance];
-            let is_in_touch =
-                !entry.is_cut && self.now >= entry.disturbed_until + IN_TOUCH_AFTER_MS;
-            self.report.late_sends[request] += u64::from(is_in_touch);
+            let is_connected =
+                !entry.is_partitioned && self.now >= entry.disturbed_until + RECONNECT_GRACE_MS;
+            self.report.late_sends[request] += u64::from(is_connected);
         }
-        self.requests[request].at = Some((instance, endpoint));
+        self.requests[request].placement = Some((instance, endpoint));
         self.requests[request].run += 1;
         let run = self.requests[request].run;
         self.endpoints[endpoint].running.insert(request);
         if is_fatal {
-            let life = self.endpoints[endpoint].life;
+            let generation = self.endpoints[endpoint].generation;
             let after = self.rng.random_range(20..500);
-            self.at(after, Event::Fatal { endpoint, life });
+            self.schedule(after, Event::FatalEnd { endpoint, generation });
         } else {
             let after = self.rng.random_range(200..2_500);
-            self.at(after, Event::Finish { request, run });
+            self.schedule(after, Event::Finish { request, run });
         }
     }
 
-    /// Others gather on the fullest endpoint with room; a suspect goes to the emptiest.
+    /// Selects the fullest endpoint with a free slot, or for a suspect the endpoint with the fewest suspects
+    /// and requests.
     fn place(&mut self, is_suspect: bool) -> Option<usize> {
         let has_room: Vec<usize> = (0..self.endpoints.len())
-            .filter(|e| self.endpoints[*e].is_up && self.endpoints[*e].running.len() < SLOTS)
+            .filter(|e| {
+                self.endpoints[*e].is_up && self.endpoints[*e].running.len() < SLOTS_PER_ENDPOINT
+            })
             .collect();
-        if self.now < self.home_away_until {
+        if self.now < self.home_lost_until {
             return has_room.choose(&mut self.rng).copied();
         }
         let load = |endpoint: &usize| self.endpoints[*endpoint].running.len();
@@ -350,22 +359,22 @@
         chosen.copied()
     }
 
-    /// The caller is told that its attempt failed, and may try again.
+    /// Reports a failed attempt to the caller, which may retry.
     fn fail(&mut self, request: usize) {
-        self.requests[request].at = None;
+        self.requests[request].placement = None;
         if self.requests[request].is_fatal {
             return;
         }
-        if self.requests[request].tries > 0 {
-            self.requests[request].tries -= 1;
+        if self.requests[request].attempts_left > 0 {
+            self.requests[request].attempts_left -= 1;
             let pause = self.rng.random_range(100..600);
-            self.at(pause, Event::Arrive(request));
+            self.schedule(pause, Event::Arrive(request));
         }
     }
 
-    fn end_endpoint(&mut self, endpoint: usize, life: u64) {
+    fn end_endpoint(&mut self, endpoint: usize, generation: u64) {
         let state = &mut self.endpoints[endpoint];
-        if !state.is_up || state.life != life {
+        if !state.is_up || state.generation != generation {
             return;
         }
         state.is_up = false;
@@ -379,73 +388,83 @@
                     self.third_end[request] = Some(self.now);
                 }
             } else {
-                self.report.cut += 1;
+                self.report.cut_streams += 1;
             }
             self.requests[request].run += 1;
-            if let Some((instance, _)) = self.requests[request].at {
+            if let Some((instance, _)) = self.requests[request].placement {
                 let boot = self.instances[instance].boot;
-                let event = Event::Seen { request, instance, boot, endpoint, life };
-                self.at(LOOK_MS, event);
+                let event = Event::EndObserved { request, instance, boot, endpoint, generation };
+                self.schedule(OBSERVATION_DELAY_MS, event);
             }
         }
         let back = self.rng.random_range(700..3_000);
-        self.at(back, Event::EndpointStarts(endpoint));
+        self.schedule(back, Event::EndpointStarts(endpoint));
     }
 
-    fn seen(&mut self, request: usize, instance: usize, boot: u64, endpoint: usize, life: u64) {
+    fn observe_end(
+        &mut self,
+        request: usize,
+        instance: usize,
+        boot: u64,
+        endpoint: usize,
+        generation: u64,
+    ) {
         let entry = &self.instances[instance];
-        if !entry.is_up || entry.boot != boot || entry.is_cut {
+        if !entry.is_up || entry.boot != boot || entry.is_partitioned {
             return self.fail(request);
         }
         let id: EndpointId = format!("e{endpoint}").parse().expect("an id");
-        let start = EndpointStart::new(id, StartTime(life + 1));
+        let start = EndpointStart::new(id, StartTime(generation + 1));
         let (now, digest) = (self.time(), self.requests[request].digest);
-        if let Some(news) = self.instances[instance].table.record_end(now, digest, &start) {
-            self.tell_all(instance, &news);
+        if let Some(update) = self.instances[instance].table.record_end(now, digest, &start) {
+            self.broadcast(instance, &update);
         }
-        // A second try within the attempt, or the caller's next one.
+        // The instance retries within the attempt, or the attempt fails and the caller retries.
         if self.rng.random_bool(0.5) { self.send(request) } else { self.fail(request) }
     }
 
     fn finish(&mut self, request: usize, run: u64) {
-        let Some((instance, endpoint)) = self.requests[request].at else { return };
+        let Some((instance, endpoint)) = self.requests[request].placement else { return };
         if self.requests[request].run != run {
             return;
         }
         self.endpoints[endpoint].running.remove(&request);
-        self.requests[request].at = None;
+        self.requests[request].placement = None;
         self.requests[request].is_served = true;
         let (now, digest) = (self.time(), self.requests[request].digest);
-        if let Some(news) = self.instances[instance].table.clear_request(now, digest) {
-            self.tell_all(instance, &news);
+        if let Some(update) = self.instances[instance].table.clear_request(now, digest) {
+            self.broadcast(instance, &update);
         }
     }
 
-    fn tell_all(&mut self, from: usize, news: &CaseUpdate) {
-        self.keep_on_disk(from);
+    fn broadcast(&mut self, from: usize, update: &CaseUpdate) {
+        self.persist(from);
         for to in 0..self.instances.len() {
             if to != from {
-                self.tell(from, to, vec![news.clone()]);
+                self.send_updates(from, to, vec![update.clone()]);
             }
         }
     }
 
-    /// Sends a message; where it is lost, the next link brings all that its sender knows.
-    fn tell(&mut self, from: usize, to: usize, news: Vec<CaseUpdate>) {
-        let is_cut = self.instances[from].is_cut || self.instances[to].is_cut;
-        let is_lost = self.rng.random_ratio(1, self.shape.one_lost_in);
-        if is_cut || !self.instances[to].is_up || news.is_empty() {
+    /// Sends a message. If it is lost, it is replaced by the sender's full state, which arrives later over
+    /// the next link.
+    fn send_updates(&mut self, from: usize, to: usize, updates: Vec<CaseUpdate>) {
+        let is_partitioned =
+            self.instances[from].is_partitioned || self.instances[to].is_partitioned;
+        let is_lost = self.rng.random_ratio(1, self.shape.messages_per_loss);
+        if is_partitioned || !self.instances[to].is_up || updates.is_empty() {
             return;
         }
         let delay =
             if is_lost { self.rng.random_range(200..1_500) } else { self.rng.random_range(1..15) };
-        let news = if is_lost { self.instances[from].table.updates(self.time()) } else { news };
+        let updates =
+            if is_lost { self.instances[from].table.updates(self.time()) } else { updates };
         let sent = self.now;
-        self.instances[to].inbox.entry(from).or_default().push((sent, news));
-        self.at(delay, Event::News { to, from });
+        self.instances[to].inbox.entry(from).or_default().push((sent, updates));
+        self.schedule(delay, Event::UpdatesArrive { to, from });
     }
 
-    fn take_news(&mut self, to: usize, from: usize) {
+    fn receive_updates(&mut self, to: usize, from: usize) {
         if !self.instances[to].is_up {
             return;
         }
@@ -453,21 +472,21 @@
         if waiting.is_empty() {
             return;
         }
-        // In any order: a later message may be first.
+        // Messages may be reordered.
         let at = self.rng.random_range(0..waiting.len());
-        let (sent, news) = waiting.remove(at);
-        let late = Duration::from_millis(self.now - sent);
+        let (sent, updates) = waiting.remove(at);
+        let transit_time = Duration::from_millis(self.now - sent);
         let now = self.time();
         let table = &mut self.instances[to].table;
-        for mut case in news {
-            // Its age grew on the way; what the receiver takes it for is the time of receipt.
-            case.ends.iter_mut().for_each(|end| end.age += late / 2);
+        for mut case in updates {
+            // The receiver computes times from the age at receipt, which is off by part of the transit time.
+            case.ends.iter_mut().for_each(|end| end.age += transit_time / 2);
             table.merge(now, &case);
         }
-        self.keep_on_disk(to);
+        self.persist(to);
     }
 
-    fn keep_on_disk(&mut self, instance: usize) {
+    fn persist(&mut self, instance: usize) {
         let now = self.time();
         let entry = &mut self.instances[instance];
         if let Some(disk) = &mut entry.disk {
@@ -475,9 +494,9 @@
         }
     }
 
-    /// Tells one other instance all, as after a comparison that shows a difference.
-    fn compare(&mut self, instance: usize) {
-        self.at(1_000, Event::Compare(instance));
+    /// Exchanges the full state with one random instance, as after a comparison of hashes that differ.
+    fn synchronize(&mut self, instance: usize) {
+        self.schedule(1_000, Event::Synchronize(instance));
         if !self.instances[instance].is_up {
             return;
         }
@@ -492,41 +511,41 @@
         for (from, to) in [(left, right), (right, left)] {
             if self.instances[from].is_up {
                 let all = self.instances[from].table.updates(self.time());
-                self.tell(from, to, all);
+                self.send_updates(from, to, all);
             }
         }
     }
 
     fn chance_end(&mut self) {
-        self.at(self.shape.chance_end_every_ms, Event::ChanceEnd);
+        self.schedule(self.shape.chance_end_interval_ms, Event::ChanceEnd);
         let count = if self.rng.random_bool(0.2) { 3 } else { 1 };
         for _ in 0..count {
             let endpoint = self.rng.random_range(0..self.endpoints.len());
-            let life = self.endpoints[endpoint].life;
-            self.end_endpoint(endpoint, life);
+            let generation = self.endpoints[endpoint].generation;
+            self.end_endpoint(endpoint, generation);
         }
     }
 
     fn disturb(&mut self) {
-        self.at(self.shape.disturbance_every_ms, Event::Disturbance);
-        let lasting = self.rng.random_range(200..4_000);
-        // All at once, however often anything else happens.
-        let all_killed =
-            self.shape.disturbance_every_ms as f64 / self.shape.all_killed_every_ms as f64;
-        if self.rng.random_bool(all_killed) {
+        self.schedule(self.shape.disturbance_interval_ms, Event::Disturbance);
+        let duration = self.rng.random_range(200..4_000);
+        // The rate of kills of all instances does not depend on the rate of other disturbances.
+        let kill_all_probability =
+            self.shape.disturbance_interval_ms as f64 / self.shape.kill_all_interval_ms as f64;
+        if self.rng.random_bool(kill_all_probability) {
             return (0..self.instances.len()).for_each(|instance| self.kill(instance, 700));
         }
         match self.rng.random_range(1..10) {
-            1..=3 => self.home_away_until = self.now + lasting,
+            1..=3 => self.home_lost_until = self.now + duration,
             4..=6 => {
                 let instance = self.rng.random_range(0..self.instances.len());
-                self.instances[instance].is_cut = true;
-                self.instances[instance].disturbed_until = self.now + lasting;
-                self.at(lasting, Event::Heal(instance));
+                self.instances[instance].is_partitioned = true;
+                self.instances[instance].disturbed_until = self.now + duration;
+                self.schedule(duration, Event::Heal(instance));
             }
             _ => {
                 let instance = self.rng.random_range(0..self.instances.len());
-                self.kill(instance, lasting);
+                self.kill(instance, duration);
             }
         }
     }
@@ -542,10 +561,10 @@
         entry.inbox.clear();
         entry.disturbed_until = self.now + down_ms;
         let lost: Vec<usize> = (0..self.requests.len())
-            .filter(|request| self.requests[*request].at.is_some_and(|(i, _)| i == instance))
+            .filter(|request| self.requests[*request].placement.is_some_and(|(i, _)| i == instance))
             .collect();
         for request in lost {
-            if let Some((_, endpoint)) = self.requests[request].at
+            if let Some((_, endpoint)) = self.requests[request].placement
                 && let Some(state) = self.endpoints.get_mut(endpoint)
                 && !self.requests[request].is_fatal
             {
@@ -554,7 +573,7 @@
             self.requests[request].run += 1;
             self.fail(request);
         }
-        self.at(down_ms, Event::InstanceStarts(instance));
+        self.schedule(down_ms, Event::InstanceStarts(instance));
     }
 
     fn start_instance(&mut self, instance: usize) {
@@ -564,16 +583,17 @@
         for case in entry.disk.clone().unwrap_or_default() {
             entry.table.merge(now, &case);
         }
-        self.meet_others(instance);
+        self.connect(instance);
     }
 
     fn heal(&mut self, instance: usize) {
-        self.instances[instance].is_cut = false;
-        self.meet_others(instance);
+        self.instances[instance].is_partitioned = false;
+        self.connect(instance);
     }
 
-    /// New links: each side with a disk, and four others, say what they know.
-    fn meet_others(&mut self, instance: usize) {
+    /// Opens links after a start or a partition. An instance with a disk exchanges its full state with all
+    /// others, and every other instance with the first four.
+    fn connect(&mut self, instance: usize) {
         for other in 0..self.instances.len() {
             if other != instance && (other < 4 || instance < 3) && self.instances[other].is_up {
                 self.exchange(instance, other);
@@ -581,12 +601,12 @@
         }
     }
 
-    /// Lets all news come, and looks at what is believed then.
-    fn conclude(mut self) -> WorldReport {
+    /// Merges the tables of all instances and computes the report.
+    fn evaluate(mut self) -> WorldReport {
         let now = self.time();
         let mut all = QuarantineTable::default();
         for instance in &self.instances {
-            // Whoever is down at the last moment starts with what is on its disk.
+            // An instance that is down contributes the state on its disk.
             let on_disk = instance.disk.clone().unwrap_or_default();
             let known = if instance.is_up { instance.table.updates(now) } else { on_disk };
             known.iter().for_each(|case| {
@@ -598,10 +618,11 @@
                 matches!(all.standing(now, request.digest), Standing::Quarantined { .. });
             if request.is_fatal {
                 let is_known = is_quarantined || self.report.ends[number] < 3;
-                self.report.fatal_unknown += usize::from(!is_known);
+                self.report.fatal_not_quarantined += usize::from(!is_known);
             } else {
                 self.report.innocent_quarantined += usize::from(is_quarantined);
-                let gave_up = !request.is_served && request.tries == 0 && request.at.is_none();
+                let gave_up =
+                    !request.is_served && request.attempts_left == 0 && request.placement.is_none();
                 let was_refused = self.refused.contains(&number);
                 self.report.innocent_unserved += usize::from(gave_up && was_refused);
             }
