--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -7,7 +7,7 @@
 
 use oriolepass_consensus::Envelope;
 use oriolepass_placement::{EngineCell, PlacementRefusal, PromptAsk, PromptKey, PromptPlan};
-use oriolepass_quarantine::CaseNews;
+use oriolepass_quarantine::CaseUpdate;
 use oriolepass_routing::{
     DrainCommand, DrainOutcome, DrainRegister, RegisterOutcome, RoutingRevision, RoutingText,
 };
@@ -163,7 +163,7 @@
     /// Prompts in progress of the sender's callers that the receiving home did not place.
     Placed(Vec<PlacedPrompt>),
     /// Quarantine cases: requests during which endpoints ended.
-    Cases(Vec<CaseNews>),
+    Cases(Vec<CaseUpdate>),
     /// The hash of the sender's quarantine cases. A receiver with another hash sends its own cases.
     CaseHash { hash: u64, is_answer: bool },
     /// Asks the leader to append this command to the log.
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use oriolepass_quarantine::{CaseNews, CaseSummary, QuarantineTable, RequestDigest, Standing};
+use oriolepass_quarantine::{CaseSummary, CaseUpdate, QuarantineTable, RequestDigest, Standing};
 use oriolepass_units::{EndpointStart, InstanceId, MonotonicTime};
 use rand::seq::IteratorRandom;
 use tokio::time::sleep;
@@ -50,7 +50,8 @@
 impl Gateway {
     /// Records that an endpoint ended under a request of one of this daemon's callers.
     pub(crate) fn record_endpoint_end(&self, digest: RequestDigest, endpoint: &EndpointStart) {
-        let news = self.quarantine.borrow_mut().table.end(self.case_time(), digest, endpoint);
+        let news =
+            self.quarantine.borrow_mut().table.record_end(self.case_time(), digest, endpoint);
         self.on_quarantine_change(news);
     }
 
@@ -60,7 +61,7 @@
         if self.quarantine.borrow().table.is_empty() {
             return;
         }
-        let news = self.quarantine.borrow_mut().table.clear(self.case_time(), digest());
+        let news = self.quarantine.borrow_mut().table.clear_request(self.case_time(), digest());
         self.on_quarantine_change(news);
     }
 
@@ -72,7 +73,7 @@
     /// Releases a request on an operator's behalf: the ends of endpoints under it no longer count
     /// against it. Returns whether any did.
     pub(crate) fn release_request(&self, digest: RequestDigest) -> bool {
-        let news = self.quarantine.borrow_mut().table.clear(self.case_time(), digest);
+        let news = self.quarantine.borrow_mut().table.clear_request(self.case_time(), digest);
         let is_released = news.is_some();
         self.on_quarantine_change(news);
         is_released
@@ -118,9 +119,9 @@
     }
 
     /// Merges the facts that another daemon sent, and forwards those that are new.
-    pub(crate) fn on_case_news(&self, from: &InstanceId, news: &[CaseNews]) {
+    pub(crate) fn on_case_news(&self, from: &InstanceId, news: &[CaseUpdate]) {
         let now = self.case_time();
-        let fresh: Vec<CaseNews> = {
+        let fresh: Vec<CaseUpdate> = {
             let table = &mut self.quarantine.borrow_mut().table;
             news.iter().filter(|case| table.merge(now, case)).cloned().collect()
         };
@@ -198,7 +199,7 @@
         }
     }
 
-    fn on_quarantine_change(&self, news: Option<CaseNews>) {
+    fn on_quarantine_change(&self, news: Option<CaseUpdate>) {
         if let Some(news) = news {
             self.broadcast_cases(&[news]);
             self.record_standings(None);
@@ -249,7 +250,7 @@
         let mut state = self.quarantine.borrow_mut();
         let state = &mut *state;
         let Some(disk) = &state.disk else { return };
-        let news = state.table.lasting_news(self.case_time());
+        let news = state.table.durable_updates(self.case_time());
         let lasting: Vec<_> =
             news.iter().map(|case| (case.digest, case.ends.len(), case.cleared.len())).collect();
         if lasting != state.persisted {
@@ -258,7 +259,7 @@
         }
     }
 
-    fn broadcast_cases(&self, news: &[CaseNews]) {
+    fn broadcast_cases(&self, news: &[CaseUpdate]) {
         let to = self.broadcast_targets();
         for message in case_messages(news) {
             self.mesh.send_all(&to, &message);
@@ -266,13 +267,13 @@
     }
 
     pub(crate) fn all_cases(&self) -> Vec<PeerMessage> {
-        case_messages(&self.quarantine.borrow().table.news(self.case_time()))
+        case_messages(&self.quarantine.borrow().table.updates(self.case_time()))
     }
 
     /// Returns a hash of the facts in the table that does not depend on when they were learnt.
     fn case_hash(&self) -> u64 {
         let mut hasher = xxhash_rust::xxh3::Xxh3Default::new();
-        for case in self.quarantine.borrow().table.news(MonotonicTime::ZERO) {
+        for case in self.quarantine.borrow().table.updates(MonotonicTime::ZERO) {
             case.digest.hash(&mut hasher);
             case.ends.iter().for_each(|end| end.endpoint.hash(&mut hasher));
             case.cleared.hash(&mut hasher);
@@ -281,6 +282,6 @@
     }
 }
 
-fn case_messages(news: &[CaseNews]) -> Vec<PeerMessage> {
+fn case_messages(news: &[CaseUpdate]) -> Vec<PeerMessage> {
     news.chunks(MAX_CASES_PER_MESSAGE).map(|cases| PeerMessage::Cases(cases.to_vec())).collect()
 }
--- a/crates/gateway/src/quarantine_disk.rs
+++ b/crates/gateway/src/quarantine_disk.rs
@@ -11,7 +11,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 
-use oriolepass_quarantine::CaseNews;
+use oriolepass_quarantine::CaseUpdate;
 use tokio::sync::oneshot;
 
 /// The name of the file in the data folder.
@@ -26,7 +26,7 @@
 
 /// The handle of the thread that stores quarantine cases on disk.
 pub(crate) struct QuarantineDisk {
-    changes: SyncSender<Vec<CaseNews>>,
+    changes: SyncSender<Vec<CaseUpdate>>,
 }
 
 impl QuarantineDisk {
@@ -35,7 +35,7 @@
     /// # Errors
     ///
     /// Returns the operating system's error when the thread cannot be started.
-    pub(crate) fn start(folder: PathBuf) -> io::Result<(Self, oneshot::Receiver<Vec<CaseNews>>)> {
+    pub(crate) fn start(folder: PathBuf) -> io::Result<(Self, oneshot::Receiver<Vec<CaseUpdate>>)> {
         let (changes, queued) = sync_channel(MAX_QUEUED_CHANGES);
         let (report, loaded) = oneshot::channel();
         std::thread::Builder::new().name("quarantine".into()).spawn(move || {
@@ -47,19 +47,19 @@
     }
 
     /// Replaces the stored cases with these. Never blocks.
-    pub(crate) fn store(&self, cases: Vec<CaseNews>) {
+    pub(crate) fn store(&self, cases: Vec<CaseUpdate>) {
         // The queue is full if the disk is slow; the next change holds all that this one does.
         let _ = self.changes.try_send(cases);
     }
 }
 
 /// Reads the cases that an earlier process stored. Returns none if there is no file or it cannot be read.
-fn read(folder: &Path) -> Vec<CaseNews> {
+fn read(folder: &Path) -> Vec<CaseUpdate> {
     let bytes = fs::read(folder.join(FILE_NAME)).unwrap_or_default();
     postcard::from_bytes(&bytes).unwrap_or_default()
 }
 
-fn write_changes(folder: &Path, changes: &Receiver<Vec<CaseNews>>) {
+fn write_changes(folder: &Path, changes: &Receiver<Vec<CaseUpdate>>) {
     while let Ok(mut newest) = changes.recv() {
         while let Ok(next) = changes.try_recv() {
             newest = next;
@@ -69,7 +69,7 @@
     }
 }
 
-fn write(folder: &Path, cases: &[CaseNews]) -> io::Result<()> {
+fn write(folder: &Path, cases: &[CaseUpdate]) -> io::Result<()> {
     let bytes = postcard::to_stdvec(cases).map_err(io::Error::other)?;
     fs::create_dir_all(folder)?;
     let mut draft = File::create(folder.join(DRAFT_NAME))?;
