--- a/crates/daemon/src/entry/driver.rs
+++ b/crates/daemon/src/entry/driver.rs
@@ -11,7 +11,7 @@
     AttemptRefusal, RequestCommand, RequestLife, RequestOutcome, RequestPlan, SendFailure,
 };
 use oriolepass_scheduler::{
-    GrantAsk, LengthClass, PromptGrant, ReleaseReason, WorkTarget, prefix_hashes,
+    GrantRequest, LengthClass, PromptGrant, ReleaseReason, WorkTarget, prefix_hashes,
 };
 use oriolepass_schema::caller::{PromptBody, RequestPriority};
 use oriolepass_schema::endpoint::StreamLine;
@@ -357,7 +357,7 @@
         if self.life.attempts() == 0 {
             self.shared.earn_retry();
         }
-        let ask = GrantAsk {
+        let ask = GrantRequest {
             attempt: self.life.attempt().expect("it waits for a grant").clone(),
             entry: self.shared.id().clone(),
             account: request.account.clone(),
--- a/crates/daemon/src/entry/homes.rs
+++ b/crates/daemon/src/entry/homes.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use oriolepass_request::AttemptRefusal;
-use oriolepass_scheduler::{GrantAsk, GrantRefusal, PromptGrant, rank_homes};
+use oriolepass_scheduler::{GrantRefusal, GrantRequest, PromptGrant, rank_homes};
 use oriolepass_units::{AttemptId, InstanceId};
 
 use crate::peers::{PeerAnswer, PeerQuestion};
@@ -15,7 +15,7 @@
 /// Asks the homes that serve the target, the best first.
 pub(super) async fn ask_homes(
     shared: &DaemonShared,
-    ask: GrantAsk,
+    ask: GrantRequest,
 ) -> Result<(InstanceId, PromptGrant), (AttemptId, AttemptRefusal)> {
     let digests = shared.digests.fresh(shared.now());
     let homes = rank_homes(&ask, shared.data_centre(), digests.iter().map(AsRef::as_ref));
@@ -36,7 +36,7 @@
 async fn ask_home(
     shared: &DaemonShared,
     home: &InstanceId,
-    ask: &GrantAsk,
+    ask: &GrantRequest,
 ) -> Result<PromptGrant, AttemptRefusal> {
     if home == shared.id() {
         return shared.home.ask(ask.clone()).await.map_err(AttemptRefusal::Home);
--- a/crates/daemon/src/home/mod.rs
+++ b/crates/daemon/src/home/mod.rs
@@ -4,7 +4,7 @@
 mod duty;
 
 use crossbeam_channel::{Receiver, Sender, bounded};
-use oriolepass_scheduler::{GrantAsk, GrantRefusal, PromptGrant, ReleaseReason};
+use oriolepass_scheduler::{GrantRefusal, GrantRequest, PromptGrant, ReleaseReason};
 use oriolepass_schema::endpoint::{
     CacheEvents, EndpointAnnouncement, EndpointHeartbeat, EndpointLeave, HeldStream,
 };
@@ -27,7 +27,7 @@
 /// What the home's thread takes in.
 pub(crate) enum HomeInput {
     Tick,
-    Ask(Box<GrantAsk>, GrantReply),
+    Ask(Box<GrantRequest>, GrantReply),
     Started(AttemptId),
     Renew(InstanceId, Vec<AttemptId>, oneshot::Sender<Vec<AttemptId>>),
     Release(AttemptId, ReleaseReason),
@@ -63,7 +63,7 @@
     }
 
     /// Asks for the use of an endpoint and waits for the grant or the refusal.
-    pub(crate) async fn ask(&self, ask: GrantAsk) -> Result<PromptGrant, GrantRefusal> {
+    pub(crate) async fn ask(&self, ask: GrantRequest) -> Result<PromptGrant, GrantRefusal> {
         let busy = GrantRefusal::Busy { retry_after: std::time::Duration::from_secs(1) };
         if self.ring.len() + KEPT_FOR_RELEASES > RING_CAPACITY {
             return Err(busy);
--- a/crates/daemon/src/peers/message.rs
+++ b/crates/daemon/src/peers/message.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use oriolepass_config::{ApplyOutcome, MemberRecord, ReplicatedCommand};
-use oriolepass_scheduler::{GrantAsk, GrantRefusal, HomeDigest, PromptGrant, ReleaseReason};
+use oriolepass_scheduler::{GrantRefusal, GrantRequest, HomeDigest, PromptGrant, ReleaseReason};
 use oriolepass_schema::operator::AuditTrailView;
 use oriolepass_units::{AttemptId, InstanceId, LeaderTerm, LeaseEpoch, LogIndex, ObjectRevision};
 use serde::{Deserialize, Serialize};
@@ -88,7 +88,7 @@
         have: LogIndex,
     },
     /// To a home: the use of an endpoint; waits until it is granted or refused.
-    Grant(GrantAsk),
+    Grant(GrantRequest),
     /// To a home: an attempt's first token has come.
     Started(AttemptId),
     /// To a home: these grants are still in use.
--- a/crates/experiment/src/homes.rs
+++ b/crates/experiment/src/homes.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use oriolepass_scheduler::{
-    GrantAsk, GrantRefusal, HomeCommand, HomeDigest, HomeScheduler, LengthClass, ReleaseReason,
+    GrantRefusal, GrantRequest, HomeCommand, HomeDigest, HomeScheduler, LengthClass, ReleaseReason,
     SchedulerConfig, WorkTarget, rank_homes,
 };
 use oriolepass_schema::caller::RequestPriority;
@@ -115,7 +115,7 @@
         self.requests.insert(attempt.clone(), request);
         self.seed_entry += 1;
         let entry = self.seed_entry % self.data_centres;
-        let ask = GrantAsk {
+        let ask = GrantRequest {
             attempt,
             entry: instance(entry),
             account: account(arrival.account),
--- a/crates/request/tests/world/mod.rs
+++ b/crates/request/tests/world/mod.rs
@@ -11,7 +11,7 @@
 use oriolepass_config::{ClaimAnswer, KeptAnswer, ReplicatedState};
 use oriolepass_request::RetryBudget;
 use oriolepass_scheduler::{
-    GrantAsk, GrantRefusal, HomeScheduler, PromptGrant, ReleaseReason, SchedulerConfig,
+    GrantRefusal, GrantRequest, HomeScheduler, PromptGrant, ReleaseReason, SchedulerConfig,
 };
 use oriolepass_schema::endpoint::{AttemptCall, HeldStream, PartCall, StreamLine};
 use oriolepass_units::{AttemptId, MonotonicTime};
@@ -60,7 +60,7 @@
 /// Something that arrives.
 #[derive(Debug)]
 pub enum Event {
-    Ask { home: usize, request: usize, ask: Box<GrantAsk> },
+    Ask { home: usize, request: usize, ask: Box<GrantRequest> },
     Answer { request: usize, home: usize, answer: Result<PromptGrant, (AttemptId, GrantRefusal)> },
     HomeLost { request: usize, attempt: AttemptId },
     Claimed { request: usize, answer: Option<ClaimAnswer> },
--- a/crates/request/tests/world/requests.rs
+++ b/crates/request/tests/world/requests.rs
@@ -8,7 +8,7 @@
     SettleCommand, StampedCommand,
 };
 use oriolepass_request::{RequestCommand, RequestLife, RequestOutcome, RequestPlan};
-use oriolepass_scheduler::{GrantAsk, GrantedEndpoint, PromptGrant, WorkTarget};
+use oriolepass_scheduler::{GrantRequest, GrantedEndpoint, PromptGrant, WorkTarget};
 use oriolepass_schema::caller::{PromptBody, RequestPriority};
 use oriolepass_schema::endpoint::{AttemptCall, PartCall};
 use oriolepass_units::{
@@ -178,7 +178,7 @@
                     Some(_) => WorkTarget::Model(MODEL.parse().expect("a name")),
                     None => WorkTarget::Service(SERVICE.parse().expect("a name")),
                 };
-                let ask = GrantAsk {
+                let ask = GrantRequest {
                     attempt: request.life.attempt().expect("it waits").clone(),
                     entry: entry_name(request.entry),
                     account: account(),
--- a/crates/scheduler/src/ask.rs
+++ b/crates/scheduler/src/ask.rs
@@ -21,7 +21,7 @@
 
 /// An entry asks for the use of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GrantAsk {
+pub struct GrantRequest {
     /// The attempt; fresh for every ask.
     pub attempt: AttemptId,
     /// The entry.
@@ -44,7 +44,7 @@
     pub exclude: Vec<EndpointId>,
 }
 
-impl GrantAsk {
+impl GrantRequest {
     /// Returns the memory that the request needs for its whole life.
     pub fn need(&self) -> TokenCount {
         self.prompt + self.answer
--- a/crates/scheduler/src/digest.rs
+++ b/crates/scheduler/src/digest.rs
@@ -6,7 +6,7 @@
 use oriolepass_units::{DataCentreId, InstanceId, ModelId, ServiceName, TokenCount};
 use serde::{Deserialize, Serialize};
 
-use crate::ask::{GrantAsk, WorkTarget};
+use crate::ask::{GrantRequest, WorkTarget};
 use crate::config::LengthClass;
 use crate::home::HomeScheduler;
 use crate::placement::short_wait_micros;
@@ -100,7 +100,7 @@
 
 /// Orders homes for an ask, the best first; those that cannot serve it are left out.
 pub fn rank_homes<'a>(
-    ask: &GrantAsk,
+    ask: &GrantRequest,
     own: &DataCentreId,
     digests: impl Iterator<Item = &'a HomeDigest>,
 ) -> Vec<InstanceId> {
@@ -115,7 +115,7 @@
     costs.into_iter().map(|(_, home)| home).collect()
 }
 
-fn home_cost(ask: &GrantAsk, digest: &HomeDigest) -> Option<u64> {
+fn home_cost(ask: &GrantRequest, digest: &HomeDigest) -> Option<u64> {
     match &ask.target {
         WorkTarget::Service(name) => {
             let service = digest.services.iter().find(|s| s.service == *name)?;
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -7,7 +7,9 @@
 use oriolepass_schema::operator::EndpointState;
 use oriolepass_units::{AccountId, AttemptId, MonotonicTime, TokenCount};
 
-use crate::ask::{GrantAsk, GrantRefusal, GrantedEndpoint, HomeCommand, PromptGrant, WorkTarget};
+use crate::ask::{
+    GrantRefusal, GrantRequest, GrantedEndpoint, HomeCommand, PromptGrant, WorkTarget,
+};
 use crate::config::LengthClass;
 use crate::endpoint::EndpointEntry;
 use crate::home::{GrantRecord, HomeScheduler};
@@ -44,7 +46,7 @@
 
 impl HomeScheduler {
     /// Takes in an ask: grants it, lets it wait, or refuses it at once.
-    pub fn ask(&mut self, now: MonotonicTime, ask: GrantAsk) {
+    pub fn ask(&mut self, now: MonotonicTime, ask: GrantRequest) {
         self.now = now;
         if let Some(refusal) = self.refusal(&ask) {
             self.counters.refused += 1;
@@ -60,7 +62,7 @@
         self.dispatch(now, &target);
     }
 
-    fn refusal(&self, ask: &GrantAsk) -> Option<GrantRefusal> {
+    fn refusal(&self, ask: &GrantRequest) -> Option<GrantRefusal> {
         let Some(limit) = self.capacity_for(ask) else {
             return Some(self.why_none_serves(ask));
         };
@@ -88,7 +90,7 @@
     }
 
     /// Says why no endpoint can ever take an ask.
-    fn why_none_serves(&self, ask: &GrantAsk) -> GrantRefusal {
+    fn why_none_serves(&self, ask: &GrantRequest) -> GrantRefusal {
         let stays = |entry: &EndpointEntry| {
             entry.serves(&ask.target) && entry.state != EndpointState::Leaving
         };
@@ -138,7 +140,7 @@
         self.waiting.queued(target).saturating_mul(1_000) / self.rate_for(target).max(1)
     }
 
-    fn enqueue(&mut self, now: MonotonicTime, ask: GrantAsk) {
+    fn enqueue(&mut self, now: MonotonicTime, ask: GrantRequest) {
         let class = LengthClass::of(ask.prompt);
         let work = self.work_of(&ask);
         let place = (Reverse(ask.priority), self.next_place);
@@ -239,7 +241,7 @@
         }
     }
 
-    fn at_own_limit(&self, ask: &GrantAsk) -> bool {
+    fn at_own_limit(&self, ask: &GrantRequest) -> bool {
         let meter = self.accounts.get(&ask.account);
         meter.is_some_and(|m| {
             m.max_held.is_some_and(|limit| m.held > TokenCount::ZERO && m.held + ask.need() > limit)
@@ -338,7 +340,12 @@
     }
 
     /// Adds a prompt to the backlog of its leading endpoint; returns the tokens added.
-    fn note_running(&mut self, ask: &GrantAsk, class: LengthClass, placement: &Placement) -> u64 {
+    fn note_running(
+        &mut self,
+        ask: &GrantRequest,
+        class: LengthClass,
+        placement: &Placement,
+    ) -> u64 {
         if class != LengthClass::Short {
             for (member, _) in placement {
                 self.endpoints.get_mut(member).expect("placed").long_running += 1;
--- a/crates/scheduler/src/home.rs
+++ b/crates/scheduler/src/home.rs
@@ -10,7 +10,7 @@
     TokenCount,
 };
 
-use crate::ask::{GrantAsk, GrantRefusal, HomeCommand, ReleaseReason, WorkTarget};
+use crate::ask::{GrantRefusal, GrantRequest, HomeCommand, ReleaseReason, WorkTarget};
 use crate::config::{LengthClass, SchedulerConfig};
 use crate::dispatch::WaitingIndex;
 use crate::endpoint::{EndpointEntry, HoldState, MemoryHold};
@@ -454,7 +454,7 @@
     }
 
     /// Returns the work that an ask will be charged.
-    pub(crate) fn work_of(&self, ask: &GrantAsk) -> u64 {
+    pub(crate) fn work_of(&self, ask: &GrantRequest) -> u64 {
         ask.prompt.0 + ask.answer.0 * self.config.answer_weight
     }
 }
--- a/crates/scheduler/src/lane.rs
+++ b/crates/scheduler/src/lane.rs
@@ -6,7 +6,7 @@
 use oriolepass_schema::caller::RequestPriority;
 use oriolepass_units::{AccountId, MonotonicTime};
 
-use crate::ask::GrantAsk;
+use crate::ask::GrantRequest;
 use crate::fairness::VirtualTime;
 
 /// A prompt's place within its account: urgent ones first, then by arrival.
@@ -15,7 +15,7 @@
 /// A prompt that waits.
 #[derive(Debug)]
 pub(crate) struct WaitingPrompt {
-    pub(crate) ask: GrantAsk,
+    pub(crate) ask: GrantRequest,
     pub(crate) since: MonotonicTime,
     pub(crate) expires: MonotonicTime,
     pub(crate) work: u64,
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -18,7 +18,7 @@
 //!   enough, engines are reserved for it: what becomes free there is kept until it fits. There
 //!   is one such reservation at a time, so two can never wait for each other.
 //!
-//! The package also holds what the other side needs: [`GrantAsk`], [`HomeDigest`] and the
+//! The package also holds what the other side needs: [`GrantRequest`], [`HomeDigest`] and the
 //! ranking of homes by their digests.
 
 mod ask;
@@ -35,7 +35,8 @@
 mod rate;
 
 pub use ask::{
-    GrantAsk, GrantRefusal, GrantedEndpoint, HomeCommand, PromptGrant, ReleaseReason, WorkTarget,
+    GrantRefusal, GrantRequest, GrantedEndpoint, HomeCommand, PromptGrant, ReleaseReason,
+    WorkTarget,
 };
 pub use config::{LengthClass, SchedulerConfig};
 pub use digest::{HomeDigest, ModelDigest, ServiceDigest, rank_homes};
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -5,7 +5,7 @@
 use oriolepass_schema::operator::EndpointState;
 use oriolepass_units::{AttemptId, EndpointId, TokenCount};
 
-use crate::ask::GrantAsk;
+use crate::ask::GrantRequest;
 use crate::config::LengthClass;
 use crate::endpoint::EndpointEntry;
 use crate::home::HomeScheduler;
@@ -33,7 +33,7 @@
     /// Returns the endpoints that may serve an ask, now or in a moment.
     fn eligible<'a>(
         &'a self,
-        ask: &'a GrantAsk,
+        ask: &'a GrantRequest,
     ) -> impl Iterator<Item = (&'a EndpointId, &'a EndpointEntry)> {
         self.endpoints.iter().filter(move |(id, entry)| {
             entry.state != EndpointState::Leaving
@@ -45,7 +45,7 @@
     /// Returns the endpoints that can serve an ask now.
     fn candidates<'a>(
         &'a self,
-        ask: &'a GrantAsk,
+        ask: &'a GrantRequest,
     ) -> impl Iterator<Item = (&'a EndpointId, &'a EndpointEntry)> {
         // A home that was frozen for a while has not aged its endpoints yet when it wakes, so
         // the heartbeat's age is checked here as well.
@@ -58,7 +58,7 @@
     /// Returns the room that an endpoint has for a prompt, less what is reserved for another.
     fn room_for(
         &self,
-        ask: &GrantAsk,
+        ask: &GrantRequest,
         class: LengthClass,
         id: &EndpointId,
         entry: &EndpointEntry,
@@ -91,12 +91,12 @@
     }
 
     /// Chooses endpoints for a prompt, if there is room now.
-    pub(crate) fn place(&self, ask: &GrantAsk) -> Option<Placement> {
+    pub(crate) fn place(&self, ask: &GrantRequest) -> Option<Placement> {
         let class = LengthClass::of(ask.prompt);
         self.place_alone(ask, class).or_else(|| self.place_group(ask, class))
     }
 
-    fn place_alone(&self, ask: &GrantAsk, class: LengthClass) -> Option<Placement> {
+    fn place_alone(&self, ask: &GrantRequest, class: LengthClass) -> Option<Placement> {
         let need = ask.need();
         let kept_clear = self.kept_clear(ask, class);
         let (id, _) = self
@@ -112,7 +112,7 @@
     /// mix and is none when there are no short prompts. They are always the same ones, the first
     /// by name: left to chance, each engine would get its long prompt in turn and none would
     /// ever be clear. Work that piles up on the others spills over: an idle engine helps nobody.
-    fn kept_clear<'a>(&'a self, ask: &'a GrantAsk, class: LengthClass) -> Vec<&'a EndpointId> {
+    fn kept_clear<'a>(&'a self, ask: &'a GrantRequest, class: LengthClass) -> Vec<&'a EndpointId> {
         if class == LengthClass::Short || self.short_rate.tokens_per_second() == 0 {
             return Vec::new();
         }
@@ -129,7 +129,7 @@
     }
 
     /// Chooses the fewest endpoints that together have room, if there are any now.
-    fn place_group(&self, ask: &GrantAsk, class: LengthClass) -> Option<Placement> {
+    fn place_group(&self, ask: &GrantRequest, class: LengthClass) -> Option<Placement> {
         if !self.needs_group(ask, class) {
             return None;
         }
@@ -147,14 +147,14 @@
     }
 
     /// Returns whether no single endpoint can ever take the prompt.
-    fn needs_group(&self, ask: &GrantAsk, class: LengthClass) -> bool {
+    fn needs_group(&self, ask: &GrantRequest, class: LengthClass) -> bool {
         let guard = self.config.short_guard_percent;
         !self.eligible(ask).any(|(_, entry)| entry.capacity(class, guard) >= ask.need())
     }
 
     /// Returns the most endpoints of a group: one must stay free of it, so that short prompts
     /// of the model always have somewhere to go.
-    fn group_limit(&self, ask: &GrantAsk) -> usize {
+    fn group_limit(&self, ask: &GrantRequest) -> usize {
         match self.eligible(ask).count() {
             0 | 1 => 1,
             count => count - 1,
@@ -162,7 +162,7 @@
     }
 
     /// Returns the most memory that a prompt of the class could ever get.
-    pub(crate) fn capacity_for(&self, ask: &GrantAsk) -> Option<TokenCount> {
+    pub(crate) fn capacity_for(&self, ask: &GrantRequest) -> Option<TokenCount> {
         let class = LengthClass::of(ask.prompt);
         let guard = self.config.short_guard_percent;
         let mut capacities: Vec<TokenCount> =
@@ -176,7 +176,7 @@
 
     /// Chooses the endpoints to keep for a prompt that does not fit now: those that will have
     /// room soonest, which are those with the least memory held.
-    pub(crate) fn choose_reservation(&self, ask: &GrantAsk) -> Option<Placement> {
+    pub(crate) fn choose_reservation(&self, ask: &GrantRequest) -> Option<Placement> {
         let class = LengthClass::of(ask.prompt);
         let guard = self.config.short_guard_percent;
         let mut options: Vec<(TokenCount, &EndpointId, TokenCount)> = self
@@ -240,7 +240,7 @@
     backlog_micros(entry, LengthClass::Short).saturating_add(neighbours)
 }
 
-fn place_cost(ask: &GrantAsk, class: LengthClass, entry: &EndpointEntry) -> PlaceCost {
+fn place_cost(ask: &GrantRequest, class: LengthClass, entry: &EndpointEntry) -> PlaceCost {
     let cached = entry.cached_tokens(&ask.prefix).min(ask.prompt.0.saturating_sub(1));
     let own = micros(ask.prompt.0 - cached, entry.prefill_rate);
     let wait = match class {
--- a/crates/scheduler/tests/ledger.rs
+++ b/crates/scheduler/tests/ledger.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use oriolepass_scheduler::{
-    GrantAsk, HomeCommand, HomeScheduler, ReleaseReason, SchedulerConfig, WorkTarget,
+    GrantRequest, HomeCommand, HomeScheduler, ReleaseReason, SchedulerConfig, WorkTarget,
 };
 use oriolepass_schema::caller::RequestPriority;
 use oriolepass_schema::endpoint::{
@@ -94,7 +94,7 @@
         self.waiting.insert(attempt.clone());
         self.home.ask(
             self.now,
-            GrantAsk {
+            GrantRequest {
                 attempt: attempt.clone(),
                 entry: "entry".parse().expect("a name"),
                 account: format!("account-{account}").parse().expect("a name"),
--- a/crates/testbed/examples/capacity.rs
+++ b/crates/testbed/examples/capacity.rs
@@ -11,7 +11,7 @@
     ViewDelta,
 };
 use oriolepass_scheduler::{
-    GrantAsk, HomeCommand, HomeScheduler, ReleaseReason, SchedulerConfig, WorkTarget,
+    GrantRequest, HomeCommand, HomeScheduler, ReleaseReason, SchedulerConfig, WorkTarget,
 };
 use oriolepass_schema::caller::RequestPriority;
 use oriolepass_schema::endpoint::{EndpointAnnouncement, EndpointKind};
@@ -63,8 +63,8 @@
     Ok(home)
 }
 
-fn ask(number: u64, account: u64, prompt: u64) -> Result<GrantAsk> {
-    Ok(GrantAsk {
+fn ask(number: u64, account: u64, prompt: u64) -> Result<GrantRequest> {
+    Ok(GrantRequest {
         attempt: format!("a-{number}").parse()?,
         entry: "entry".parse()?,
         account: format!("account-{account}").parse()?,
