--- a/crates/daemon/src/home/duty.rs
+++ b/crates/daemon/src/home/duty.rs
@@ -76,7 +76,7 @@
             HomeInput::Tick => self.tick(shared, now),
             HomeInput::Ask(ask, reply) => {
                 self.replies.insert(ask.attempt.clone(), reply);
-                self.scheduler.ask(now, *ask);
+                self.scheduler.request_grant(now, *ask);
             }
             HomeInput::Started(attempt) => self.scheduler.started(now, &attempt),
             HomeInput::Renew(entry, attempts, reply) => {
--- a/crates/experiment/src/homes.rs
+++ b/crates/experiment/src/homes.rs
@@ -132,7 +132,7 @@
             .first()
             .map_or(entry, |home| home.as_str()["home-".len()..].parse().expect("a number"));
         self.home_of.insert(request, home);
-        self.homes[home].ask(now, ask);
+        self.homes[home].request_grant(now, ask);
     }
 
     pub(crate) fn first_token(&mut self, now: MonotonicTime, request: usize) {
--- a/crates/request/tests/world/deliver.rs
+++ b/crates/request/tests/world/deliver.rs
@@ -66,7 +66,7 @@
         match event {
             Event::Ask { home, request, ask } => {
                 if home == self.home {
-                    self.homes[home].ask(self.now, *ask);
+                    self.homes[home].request_grant(self.now, *ask);
                     self.home_commands(home, coverage);
                 } else {
                     let answer = Err((ask.attempt, GrantRefusal::NotHome));
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -46,7 +46,7 @@
 
 impl HomeScheduler {
     /// Takes in an ask: grants it, lets it wait, or refuses it at once.
-    pub fn ask(&mut self, now: MonotonicTime, ask: GrantRequest) {
+    pub fn request_grant(&mut self, now: MonotonicTime, ask: GrantRequest) {
         self.now = now;
         if let Some(refusal) = self.refusal(&ask) {
             self.counters.refused += 1;
--- a/crates/scheduler/tests/ledger.rs
+++ b/crates/scheduler/tests/ledger.rs
@@ -92,7 +92,7 @@
         self.next += 1;
         let attempt: AttemptId = format!("a-{}", self.next).parse().expect("a valid id");
         self.waiting.insert(attempt.clone());
-        self.home.ask(
+        self.home.request_grant(
             self.now,
             GrantRequest {
                 attempt: attempt.clone(),
--- a/crates/testbed/examples/capacity.rs
+++ b/crates/testbed/examples/capacity.rs
@@ -89,7 +89,7 @@
     // Fill the engines, then the queue.
     while home.waiting_count() < WAITING as usize {
         number += 1;
-        home.ask(now, ask(number, number % 10, 3_000 + number % 900)?);
+        home.request_grant(now, ask(number, number % 10, 3_000 + number % 900)?);
         for command in home.take_commands() {
             if let HomeCommand::Grant(grant) = command {
                 granted.push(grant.attempt);
@@ -99,7 +99,7 @@
     let started = Instant::now();
     for round in 0..ROUNDS {
         number += 1;
-        home.ask(now, ask(number, number % 10, 3_000 + round % 900)?);
+        home.request_grant(now, ask(number, number % 10, 3_000 + round % 900)?);
         let leaver = granted.swap_remove(round as usize % granted.len());
         home.release(now, &leaver, ReleaseReason::Ended { tokens: TokenCount(200) });
         for command in home.take_commands() {
@@ -143,7 +143,7 @@
         let mut number = 0;
         while home.waiting_count() < 10_000 {
             number += 1;
-            home.ask(now, ask(number, number % count, 3_500)?);
+            home.request_grant(now, ask(number, number % count, 3_500)?);
             let _ = home.take_commands();
         }
         let memory = resident()?.saturating_sub(before);
@@ -153,7 +153,7 @@
             number += 1;
             let next = ask(number, number % count, 3_500)?;
             let attempt = next.attempt.clone();
-            home.ask(now, next);
+            home.request_grant(now, next);
             home.release(now, &attempt, ReleaseReason::NeverSent);
             let _ = home.take_commands();
         }
