--- a/crates/daemon/src/home/duty.rs
+++ b/crates/daemon/src/home/duty.rs
@@ -101,7 +101,7 @@
                 let _ = reply.send(known);
             }
             HomeInput::LetGo(endpoint, reply) => {
-                let _ = reply.send(self.scheduler.let_go(&endpoint));
+                let _ = reply.send(self.scheduler.remove_endpoint(&endpoint));
             }
             HomeInput::Held { asked, endpoint, streams } => {
                 self.scheduler.held_streams(now, asked, &endpoint, &streams);
--- a/crates/scheduler/src/home.rs
+++ b/crates/scheduler/src/home.rs
@@ -404,7 +404,7 @@
     }
 
     /// Lets an endpoint go that has another home now; returns whether it was here.
-    pub fn let_go(&mut self, endpoint: &EndpointId) -> bool {
+    pub fn remove_endpoint(&mut self, endpoint: &EndpointId) -> bool {
         let known = self.endpoints.contains_key(endpoint);
         self.forget_endpoint(endpoint);
         known
