--- a/crates/scheduler/src/config.rs
+++ b/crates/scheduler/src/config.rs
@@ -1,11 +1,11 @@
-//! Parameters of the policy.
+//! Parameters of the scheduling policy.
 
 use std::time::Duration;
 
 use oriolepass_units::TokenCount;
 use serde::{Deserialize, Serialize};
 
-/// How prompts are told apart by length.
+/// Length class of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum LengthClass {
     /// Below 4 k tokens.
@@ -14,7 +14,7 @@
     Medium,
     /// Up to 128 k tokens.
     Long,
-    /// Longer.
+    /// Above 128 k tokens.
     Huge,
 }
 
@@ -22,7 +22,7 @@
     /// All classes, the shortest first.
     pub const ALL: [Self; 4] = [Self::Short, Self::Medium, Self::Long, Self::Huge];
 
-    /// Returns the class of a prompt.
+    /// Returns the class of a prompt of the given length.
     pub fn of(prompt: TokenCount) -> Self {
         match prompt.0 {
             0..4_000 => Self::Short,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Returns the priority on an engine: the shorter, the higher.
+    /// Returns the priority on an engine. Shorter classes have a higher priority.
     pub fn priority(self) -> u8 {
         match self {
             Self::Short => 3,
@@ -53,34 +53,36 @@
     }
 }
 
-/// Parameters of the home's decisions.
+/// Parameters of the home's scheduling decisions.
 #[derive(Debug, Clone)]
 pub struct SchedulerConfig {
-    /// How long a grant lasts without renewal.
+    /// Validity of a grant without renewal.
     pub grant_lease: Duration,
-    /// Without a heartbeat before an endpoint gets no new work.
+    /// Time without a heartbeat after which an endpoint is suspect and gets no new work.
     pub endpoint_suspect: Duration,
-    /// Without a heartbeat before an endpoint is forgotten.
+    /// Time without a heartbeat after which an endpoint is removed.
     pub endpoint_gone: Duration,
-    /// Between looks at what each endpoint holds.
-    pub inspect_every: Duration,
-    /// How long something may be held without explanation before it is cancelled.
+    /// Interval between inspections of the memory that an endpoint holds.
+    pub inspect_interval: Duration,
+    /// Time that an endpoint may hold an unexplained stream, one without a grant, before the
+    /// stream is cancelled.
     pub unexplained_grace: Duration,
-    /// The part of each engine's memory that only short prompts may use, in percent.
+    /// Percentage of each engine's memory that only short prompts may use.
     pub short_guard_percent: u64,
-    /// How busy with short prompts the engines kept clear of longer ones should be, in percent.
+    /// Target load, in percent, of short prompts on the engines that are kept clear of longer
+    /// prompts.
     pub clear_load_percent: u64,
-    /// Work of longer prompts that waits on the other engines before engines kept clear are
-    /// used as well.
+    /// Smallest backlog of the other engines at which longer prompts may also use the engines
+    /// that are kept clear.
     pub spill_after: Duration,
-    /// The cost of a token of answer, in tokens of prompt.
+    /// Cost of an answer token, in prompt tokens.
     pub answer_weight: u64,
-    /// How long a prompt that does not fit waits before engines are reserved for it.
-    pub reserve_after: Duration,
-    /// The longest queue of one account, in tokens of work, for each unit of its share.
-    pub queue_tokens_per_share: u64,
-    /// The longest queue of the home, in seconds of work of the engines that serve the model.
-    pub queue_seconds: u64,
+    /// Time that a prompt that does not fit waits before engines are reserved for it.
+    pub reservation_delay: Duration,
+    /// Maximum queue of one account, in tokens of work per unit of its share.
+    pub max_queue_tokens_per_share: u64,
+    /// Maximum queue of the home, in seconds of work of the engines that serve the model.
+    pub max_queue_seconds: u64,
 }
 
 impl Default for SchedulerConfig {
@@ -89,15 +91,15 @@
             grant_lease: Duration::from_secs(4),
             endpoint_suspect: Duration::from_millis(1_500),
             endpoint_gone: Duration::from_secs(5),
-            inspect_every: Duration::from_secs(2),
+            inspect_interval: Duration::from_secs(2),
             unexplained_grace: Duration::from_secs(1),
             short_guard_percent: 20,
             clear_load_percent: 35,
             spill_after: Duration::from_secs(10),
             answer_weight: 8,
-            reserve_after: Duration::from_millis(500),
-            queue_tokens_per_share: 20_000_000,
-            queue_seconds: 60,
+            reservation_delay: Duration::from_millis(500),
+            max_queue_tokens_per_share: 20_000_000,
+            max_queue_seconds: 60,
         }
     }
 }
--- a/crates/scheduler/src/digest.rs
+++ b/crates/scheduler/src/digest.rs
@@ -1,4 +1,4 @@
-//! What a home tells the entries about itself, and how they choose between homes.
+//! Digests in which a home reports its load to the entries, and the ranking of homes by them.
 
 use std::collections::BTreeMap;
 
@@ -6,46 +6,46 @@
 use oriolepass_units::{DataCentreId, InstanceId, ModelId, ServiceName, TokenCount};
 use serde::{Deserialize, Serialize};
 
-use crate::ask::{GrantRequest, WorkTarget};
 use crate::config::LengthClass;
+use crate::grant::{GrantRequest, WorkTarget};
 use crate::home::HomeScheduler;
 use crate::placement::short_wait_micros;
 
-/// Milliseconds that an entry prefers a home of its own data centre by.
-const DISTANCE_MS: u64 = 2;
+/// Cost added to a home in another data centre than the entry's, in milliseconds.
+const REMOTE_HOME_COST_MS: u64 = 2;
 
-/// One model at a home.
+/// Load of one model at a home.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelDigest {
     /// The model.
     pub model: ModelId,
-    /// Engines that serve it and take work.
+    /// Number of engines that serve the model and accept work.
     pub engines: u32,
-    /// The most memory that one prompt may get.
+    /// Maximum memory of one prompt.
     pub limit: TokenCount,
-    /// Memory free now, over all of them.
+    /// Free memory of all these engines.
     pub free: TokenCount,
-    /// Work that waits, in milliseconds of all of them together.
+    /// Waiting work, in milliseconds of work of all these engines together.
     pub queue_ms: u64,
-    /// Expected wait for a short prompt on the best of them, in milliseconds.
+    /// Expected wait of a short prompt on the engine with the shortest wait, in milliseconds.
     pub short_wait_ms: u64,
 }
 
-/// One plain service at a home.
+/// Load of one plain service at a home.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceDigest {
     /// The service.
     pub service: ServiceName,
-    /// Calls that it can take now.
+    /// Number of calls that the service can accept at present.
     pub free: u64,
 }
 
-/// What a home serves and how busy it is.
+/// The models and services of a home with their load.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HomeDigest {
     /// The home.
     pub home: InstanceId,
-    /// Its data centre.
+    /// The home's data centre.
     pub data_centre: DataCentreId,
     /// The models.
     pub models: Vec<ModelDigest>,
@@ -54,7 +54,7 @@
 }
 
 impl HomeScheduler {
-    /// Writes the digest for the entries.
+    /// Returns the digest that is sent to the entries.
     pub fn digest(&self, home: &InstanceId, data_centre: &DataCentreId) -> HomeDigest {
         let mut models: BTreeMap<ModelId, ModelDigest> = BTreeMap::new();
         let mut services: BTreeMap<ServiceName, u64> = BTreeMap::new();
@@ -98,16 +98,18 @@
     }
 }
 
-/// Orders homes for an ask, the best first; those that cannot serve it are left out.
+/// Ranks homes for a grant request by ascending cost. Homes that cannot serve the request are
+/// omitted.
 pub fn rank_homes<'a>(
-    ask: &GrantRequest,
-    own: &DataCentreId,
+    request: &GrantRequest,
+    own_data_centre: &DataCentreId,
     digests: impl Iterator<Item = &'a HomeDigest>,
 ) -> Vec<InstanceId> {
     let mut costs: Vec<(u64, InstanceId)> = digests
         .filter_map(|digest| {
-            let cost = home_cost(ask, digest)?;
-            let distance = if digest.data_centre == *own { 0 } else { DISTANCE_MS };
+            let cost = home_cost(request, digest)?;
+            let distance =
+                if digest.data_centre == *own_data_centre { 0 } else { REMOTE_HOME_COST_MS };
             Some((cost.saturating_add(distance), digest.home.clone()))
         })
         .collect();
@@ -115,19 +117,21 @@
     costs.into_iter().map(|(_, home)| home).collect()
 }
 
-fn home_cost(ask: &GrantRequest, digest: &HomeDigest) -> Option<u64> {
-    match &ask.target {
+/// Returns the cost of a home in milliseconds. A home without free capacity costs an extra
+/// 1 000 ms.
+fn home_cost(request: &GrantRequest, digest: &HomeDigest) -> Option<u64> {
+    match &request.target {
         WorkTarget::Service(name) => {
             let service = digest.services.iter().find(|s| s.service == *name)?;
             Some(if service.free > 0 { 0 } else { 1_000 })
         }
         WorkTarget::Model(name) => {
             let model = digest.models.iter().find(|m| m.model == *name)?;
-            let class = LengthClass::of(ask.prompt);
-            if class != LengthClass::Short && model.limit < ask.need() {
+            let class = LengthClass::of(request.prompt);
+            if class != LengthClass::Short && model.limit < request.need() {
                 return None;
             }
-            let full = if model.free < ask.need() { 1_000 } else { 0 };
+            let full = if model.free < request.need() { 1_000 } else { 0 };
             let wait = match class {
                 LengthClass::Short => model.short_wait_ms,
                 _ => 0,
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Takes asks in and gives grants out.
+//! Admits, queues and grants requests.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -7,36 +7,38 @@
 use oriolepass_schema::operator::EndpointState;
 use oriolepass_units::{AccountId, AttemptId, MonotonicTime, TokenCount};
 
-use crate::ask::{
-    GrantRefusal, GrantRequest, GrantedEndpoint, HomeCommand, PromptGrant, WorkTarget,
-};
 use crate::config::LengthClass;
 use crate::endpoint::EndpointEntry;
+use crate::grant::{
+    GrantRefusal, GrantRequest, GrantedEndpoint, HomeCommand, PromptGrant, WorkTarget,
+};
 use crate::home::{GrantRecord, HomeScheduler};
-use crate::lane::{PlaceInAccount, PromptLane, WaitingPrompt};
+use crate::lane::{PromptLane, QueuePosition, WaitingPrompt};
 use crate::placement::{EngineReservation, Placement};
 
-/// The shortest and longest time that a refusal tells the caller to wait.
-const RETRY_BOUNDS: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(30));
+/// Minimum and maximum retry delay in a refusal.
+const RETRY_AFTER_BOUNDS: (Duration, Duration) =
+    (Duration::from_millis(200), Duration::from_secs(30));
 
-/// Accounts looked at in one lane before it counts as blocked. An account at its own limit of
-/// memory must not block the others, but looking at thousands for each event would not scale.
-const ACCOUNTS_LOOKED_AT: usize = 8;
+/// Maximum number of accounts examined in one lane before the lane counts as blocked. An account
+/// at its memory limit must not block the others, but examining thousands of accounts for each
+/// event would not scale.
+const MAX_ACCOUNTS_EXAMINED: usize = 8;
 
-/// Where each waiting ask stands.
+/// Index of the waiting requests by attempt, with the total waiting work of each target.
 #[derive(Debug, Default)]
 pub(crate) struct WaitingIndex {
-    places: HashMap<AttemptId, (WorkTarget, LengthClass, AccountId, PlaceInAccount)>,
+    positions: HashMap<AttemptId, (WorkTarget, LengthClass, AccountId, QueuePosition)>,
     queued: HashMap<WorkTarget, u64>,
 }
 
 impl WaitingIndex {
     pub(crate) fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
     pub(crate) fn attempts(&self) -> Vec<AttemptId> {
-        self.places.keys().cloned().collect()
+        self.positions.keys().cloned().collect()
     }
 
     fn queued(&self, target: &WorkTarget) -> u64 {
@@ -45,136 +47,140 @@
 }
 
 impl HomeScheduler {
-    /// Takes in an ask: grants it, lets it wait, or refuses it at once.
-    pub fn request_grant(&mut self, now: MonotonicTime, ask: GrantRequest) {
+    /// Handles a grant request: grants it, queues it, or refuses it immediately.
+    pub fn request_grant(&mut self, now: MonotonicTime, request: GrantRequest) {
         self.now = now;
-        if let Some(refusal) = self.refusal(&ask) {
+        if let Some(refusal) = self.refusal(&request) {
             self.counters.refused += 1;
-            self.commands.push(HomeCommand::Refuse { attempt: ask.attempt, refusal });
+            self.commands.push(HomeCommand::Refuse { attempt: request.attempt, refusal });
             return;
         }
-        let target = ask.target.clone();
+        let target = request.target.clone();
         let is_model = matches!(target, WorkTarget::Model(_));
-        if is_model && LengthClass::of(ask.prompt) == LengthClass::Short {
-            self.short_rate.add(ask.prompt.0);
+        if is_model && LengthClass::of(request.prompt) == LengthClass::Short {
+            self.short_rate.add(request.prompt.0);
         }
-        self.enqueue(now, ask);
+        self.enqueue(now, request);
         self.dispatch(now, &target);
     }
 
-    fn refusal(&self, ask: &GrantRequest) -> Option<GrantRefusal> {
-        let Some(limit) = self.capacity_for(ask) else {
-            return Some(self.why_none_serves(ask));
+    /// Returns the refusal of a request that cannot be admitted.
+    fn refusal(&self, request: &GrantRequest) -> Option<GrantRefusal> {
+        let Some(limit) = self.capacity_for(request) else {
+            return Some(self.unservable_refusal(request));
         };
-        if ask.need() > limit {
+        if request.need() > limit {
             return Some(GrantRefusal::TooBig { limit });
         }
-        let work = self.work_of(ask);
-        let rate = self.rate_for(&ask.target);
-        let queued = self.waiting.queued(&ask.target);
+        let work = self.work_of(request);
+        let rate = self.rate_for(&request.target);
+        let queued = self.waiting.queued(&request.target);
         let wait = Duration::from_secs_f64(queued as f64 / rate.max(1) as f64);
-        let retry_after = wait.clamp(RETRY_BOUNDS.0, RETRY_BOUNDS.1);
-        let meter = self.accounts.get(&ask.account);
+        let retry_after = wait.clamp(RETRY_AFTER_BOUNDS.0, RETRY_AFTER_BOUNDS.1);
+        let meter = self.accounts.get(&request.account);
         let (own, share) = meter.map_or((0, 1), |m| (m.queued, m.share));
-        // The first ask of an account is always taken: its limit is on what it adds.
-        if own > 0 && own + work > self.config.queue_tokens_per_share * u64::from(share) {
+        // The account's first waiting request is always admitted: the limit is on further requests.
+        if own > 0 && own + work > self.config.max_queue_tokens_per_share * u64::from(share) {
             return Some(GrantRefusal::AccountBusy { retry_after });
         }
-        // The home's queue is shared out: once it is full, only accounts that wait for less
-        // than their part of it may add to it.
-        let full = queued + work > rate.saturating_mul(self.config.queue_seconds);
-        if full && queued > 0 && own > self.queue_part(share, queued) {
+        // The home's queue is divided by share: once it is full, only accounts whose waiting work
+        // does not exceed their part of the queue may add to it.
+        let full = queued + work > rate.saturating_mul(self.config.max_queue_seconds);
+        if full && queued > 0 && own > self.queue_share(share, queued) {
             return Some(GrantRefusal::Busy { retry_after });
         }
         None
     }
 
-    /// Says why no endpoint can ever take an ask.
-    fn why_none_serves(&self, ask: &GrantRequest) -> GrantRefusal {
-        let stays = |entry: &EndpointEntry| {
-            entry.serves(&ask.target) && entry.state != EndpointState::Leaving
+    /// Returns the refusal of a request that no endpoint can ever serve.
+    fn unservable_refusal(&self, request: &GrantRequest) -> GrantRefusal {
+        let is_staying = |entry: &EndpointEntry| {
+            entry.serves(&request.target) && entry.state != EndpointState::Leaving
         };
-        match self.endpoints.values().any(stays) {
+        match self.endpoints.values().any(is_staying) {
             true => GrantRefusal::AllExcluded,
             false => GrantRefusal::NotServed,
         }
     }
 
-    /// Refuses what waits and can be served no longer, after endpoints have gone.
-    pub(crate) fn refuse_hopeless(&mut self) {
-        let hopeless: Vec<(AttemptId, GrantRefusal)> = self
+    /// Refuses the waiting requests that can no longer be served after endpoints have been removed
+    /// or started to leave.
+    pub(crate) fn refuse_unservable(&mut self) {
+        let unservable: Vec<(AttemptId, GrantRefusal)> = self
             .lanes
             .values()
             .flat_map(PromptLane::prompts)
             .filter_map(|prompt| {
-                let refusal = match self.capacity_for(&prompt.ask) {
-                    None => self.why_none_serves(&prompt.ask),
-                    Some(limit) if prompt.ask.need() > limit => GrantRefusal::TooBig { limit },
+                let refusal = match self.capacity_for(&prompt.request) {
+                    None => self.unservable_refusal(&prompt.request),
+                    Some(limit) if prompt.request.need() > limit => GrantRefusal::TooBig { limit },
                     Some(_) => return None,
                 };
-                Some((prompt.ask.attempt.clone(), refusal))
+                Some((prompt.request.attempt.clone(), refusal))
             })
             .collect();
-        for (attempt, refusal) in hopeless {
+        for (attempt, refusal) in unservable {
             self.withdraw(&attempt);
             self.counters.refused += 1;
             self.commands.push(HomeCommand::Refuse { attempt, refusal });
         }
     }
 
-    /// Returns an account's part of what waits, by its share among the accounts that wait.
-    fn queue_part(&self, share: u32, queued: u64) -> u64 {
+    /// Returns an account's part of the waiting work, by its share among the waiting accounts.
+    fn queue_share(&self, share: u32, queued: u64) -> u64 {
         let waiting = self.accounts.iter().filter(|(_, meter)| meter.queued > 0);
         let shares: u64 = waiting.map(|(_, meter)| u64::from(meter.share)).sum();
         queued * u64::from(share) / shares.max(1)
     }
 
-    /// Returns the work that the endpoints of a target do a second, in tokens of prompt.
+    /// Returns the processing rate of a target's endpoints together, in prompt tokens per second.
     fn rate_for(&self, target: &WorkTarget) -> u64 {
         let serving = self.endpoints.values().filter(|entry| entry.serves(target));
         serving.fold(0_u64, |sum, entry| sum.saturating_add(entry.prefill_rate))
     }
 
-    /// Returns the work that waits for a target, in milliseconds of its endpoints together.
+    /// Returns the waiting work of a target, in milliseconds of work of its endpoints together.
     pub(crate) fn queue_ms(&self, target: &WorkTarget) -> u64 {
         self.waiting.queued(target).saturating_mul(1_000) / self.rate_for(target).max(1)
     }
 
-    fn enqueue(&mut self, now: MonotonicTime, ask: GrantRequest) {
-        let class = LengthClass::of(ask.prompt);
-        let work = self.work_of(&ask);
-        let place = (Reverse(ask.priority), self.next_place);
-        self.next_place += 1;
-        let key = (ask.target.clone(), class);
-        let account = ask.account.clone();
-        let waits = self.lanes.get(&key).is_some_and(|lane| lane.has(&account));
-        let at = match waits {
+    fn enqueue(&mut self, now: MonotonicTime, request: GrantRequest) {
+        let class = LengthClass::of(request.prompt);
+        let work = self.work_of(&request);
+        let position = (Reverse(request.priority), self.next_sequence);
+        self.next_sequence += 1;
+        let key = (request.target.clone(), class);
+        let account = request.account.clone();
+        let waits = self.lanes.get(&key).is_some_and(|lane| lane.contains(&account));
+        let virtual_time = match waits {
             true => self.accounts.meter(&account).virtual_time,
-            false => self.accounts.wake(&account),
+            false => self.accounts.activate(&account),
         };
         self.accounts.meter(&account).queued += work;
-        *self.waiting.queued.entry(ask.target.clone()).or_default() += work;
-        let index = (ask.target.clone(), class, account, place);
-        self.waiting.places.insert(ask.attempt.clone(), index);
-        let expires = now + ask.patience;
-        let prompt = WaitingPrompt { ask, since: now, expires, work };
-        self.lanes.entry(key).or_default().push(at, place, prompt);
+        *self.waiting.queued.entry(request.target.clone()).or_default() += work;
+        let index = (request.target.clone(), class, account, position);
+        self.waiting.positions.insert(request.attempt.clone(), index);
+        let expires_at = now + request.patience;
+        let prompt = WaitingPrompt { request, enqueued_at: now, expires_at, work };
+        self.lanes.entry(key).or_default().push(virtual_time, position, prompt);
     }
 
-    /// Takes an ask out of the queue; returns whether it was there.
+    /// Removes a request from the queue; returns whether it was waiting.
     pub(crate) fn withdraw(&mut self, attempt: &AttemptId) -> bool {
-        let Some((target, class, account, place)) = self.waiting.places.remove(attempt) else {
+        let Some((target, class, account, position)) = self.waiting.positions.remove(attempt)
+        else {
             return false;
         };
         let key = (target, class);
-        let lane = self.lanes.get_mut(&key).expect("an indexed ask's lane");
-        let prompt = lane.remove(&account, place).expect("an indexed ask waits");
+        let lane = self.lanes.get_mut(&key).expect("an indexed request's lane");
+        let prompt = lane.remove(&account, position).expect("an indexed request waits");
         if lane.is_empty() {
             self.lanes.remove(&key);
         }
         let meter = self.accounts.meter(&account);
         meter.queued -= prompt.work;
-        let queued = self.waiting.queued.get_mut(&key.0).expect("something waited");
+        let queued =
+            self.waiting.queued.get_mut(&key.0).expect("the queued work of a waiting target");
         *queued -= prompt.work;
         if *queued == 0 {
             self.waiting.queued.remove(&key.0);
@@ -185,19 +191,20 @@
         true
     }
 
-    /// Withdraws asks whose entry has stopped waiting, in case its word got lost.
+    /// Refuses requests whose entry no longer waits. The entry normally withdraws a request itself;
+    /// this covers a lost withdrawal.
     pub(crate) fn expire_waiting(&mut self, now: MonotonicTime) {
         let expired: Vec<AttemptId> = self
             .lanes
             .values()
             .flat_map(|lane| lane.accounts_in_order().filter_map(|account| lane.head_of(account)))
-            .filter(|(_, prompt)| now >= prompt.expires)
-            .map(|(_, prompt)| prompt.ask.attempt.clone())
+            .filter(|(_, prompt)| now >= prompt.expires_at)
+            .map(|(_, prompt)| prompt.request.attempt.clone())
             .collect();
         for attempt in expired {
             self.withdraw(&attempt);
             self.counters.refused += 1;
-            let refusal = GrantRefusal::Busy { retry_after: RETRY_BOUNDS.0 };
+            let refusal = GrantRefusal::Busy { retry_after: RETRY_AFTER_BOUNDS.0 };
             self.commands.push(HomeCommand::Refuse { attempt, refusal });
         }
     }
@@ -209,28 +216,29 @@
         targets.iter().for_each(|target| self.dispatch(now, target));
     }
 
-    /// Grants what fits, the shortest lane first.
+    /// Grants the requests that fit, the lane of the shortest class first.
     fn dispatch(&mut self, now: MonotonicTime, target: &WorkTarget) {
-        self.serve_reservation(now);
+        self.grant_reserved(now);
         for class in LengthClass::ALL {
             while self.grant_next(now, target, class) {}
         }
         self.reserve_for_most_due(now);
     }
 
-    /// Grants the next ask of a lane that fits; returns whether there was one.
+    /// Grants the next request of a lane if it fits; returns whether a request was granted.
     fn grant_next(&mut self, now: MonotonicTime, target: &WorkTarget, class: LengthClass) -> bool {
         let Some(lane) = self.lanes.get(&(target.clone(), class)) else { return false };
         let fitting = lane
             .accounts_in_order()
-            .take(ACCOUNTS_LOOKED_AT)
+            .take(MAX_ACCOUNTS_EXAMINED)
             .filter_map(|account| lane.head_of(account))
-            .filter(|(_, prompt)| !self.at_own_limit(&prompt.ask))
-            // Only the first account that is not at its own limit is tried: giving its room to
-            // a smaller prompt of the next one would let small prompts overtake for ever.
+            .filter(|(_, prompt)| !self.at_memory_limit(&prompt.request))
+            // Only the first account that is below its memory limit is tried. Giving its room to a
+            // smaller prompt of the next account would let small prompts overtake indefinitely.
             .take(1)
             .find_map(|(_, prompt)| {
-                self.place(&prompt.ask).map(|placement| (prompt.ask.attempt.clone(), placement))
+                self.place(&prompt.request)
+                    .map(|placement| (prompt.request.attempt.clone(), placement))
             });
         match fitting {
             Some((attempt, placement)) => {
@@ -241,76 +249,80 @@
         }
     }
 
-    fn at_own_limit(&self, ask: &GrantRequest) -> bool {
-        let meter = self.accounts.get(&ask.account);
+    /// Returns whether a grant would exceed the memory limit of an account that already holds
+    /// memory.
+    fn at_memory_limit(&self, request: &GrantRequest) -> bool {
+        let meter = self.accounts.get(&request.account);
         meter.is_some_and(|m| {
-            m.max_held.is_some_and(|limit| m.held > TokenCount::ZERO && m.held + ask.need() > limit)
+            m.max_held
+                .is_some_and(|limit| m.held > TokenCount::ZERO && m.held + request.need() > limit)
         })
     }
 
-    /// Grants the reserved prompt once it fits.
-    fn serve_reservation(&mut self, now: MonotonicTime) {
+    /// Grants the request of the engine reservation once it fits.
+    fn grant_reserved(&mut self, now: MonotonicTime) {
         let Some(reservation) = &self.reservation else { return };
         let attempt = reservation.attempt.clone();
-        let Some((target, class, account, place)) = self.waiting.places.get(&attempt) else {
+        let Some((target, class, account, position)) = self.waiting.positions.get(&attempt) else {
             self.reservation = None;
             return;
         };
         let lane = &self.lanes[&(target.clone(), *class)];
-        let head = lane.head_of(account).filter(|(head, _)| head == place);
-        if let Some(placement) = head.and_then(|(_, prompt)| self.place(&prompt.ask)) {
+        let head = lane.head_of(account).filter(|(head, _)| head == position);
+        if let Some(placement) = head.and_then(|(_, prompt)| self.place(&prompt.request)) {
             self.grant(now, &attempt, placement);
         }
     }
 
-    /// Reserves engines for the ask that is most due, once it has waited long enough.
+    /// Reserves engines for the most due request that has waited for the reservation delay.
     ///
-    /// There is one reservation at a time. Two prompts that each hold a part of what the other
-    /// needs can therefore not exist, and the one reserved for is sure to fit some day: every
-    /// grant that stands in its way has a deadline. Lanes compete for it by the virtual time of
-    /// their accounts: by lane or by age alone, a flood of medium prompts would always have one
-    /// that comes first, and a group of engines would never come together.
+    /// There is one reservation at a time, so two prompts can never each hold a part of the memory
+    /// that the other needs. The reserved prompt eventually fits, because every grant in its way
+    /// has a deadline. Lanes compete for the reservation by the virtual time of their accounts.
+    /// With an order by lane or by age alone, a flood of medium prompts would always come first,
+    /// and no group of engines would ever become free together.
     fn reserve_for_most_due(&mut self, now: MonotonicTime) {
         if self.reservation.is_some() {
             return;
         }
-        let waited = |prompt: &WaitingPrompt| now.since(prompt.since) >= self.config.reserve_after;
+        let waited =
+            |prompt: &WaitingPrompt| now.since(prompt.enqueued_at) >= self.config.reservation_delay;
         let most_due = self
             .lanes
             .iter()
             .filter(|((_, class), _)| *class != LengthClass::Short)
             .filter_map(|(_, lane)| lane.first_head())
-            .filter(|(_, prompt)| waited(prompt) && !self.at_own_limit(&prompt.ask))
-            .min_by_key(|(at, prompt)| (*at, prompt.since));
+            .filter(|(_, prompt)| waited(prompt) && !self.at_memory_limit(&prompt.request))
+            .min_by_key(|(virtual_time, prompt)| (*virtual_time, prompt.enqueued_at));
         let Some((_, prompt)) = most_due else { return };
-        if let Some(members) = self.choose_reservation(&prompt.ask) {
-            let attempt = prompt.ask.attempt.clone();
+        if let Some(members) = self.choose_reservation(&prompt.request) {
+            let attempt = prompt.request.attempt.clone();
             self.reservation = Some(EngineReservation { attempt, members });
             self.counters.reservations += 1;
         }
     }
 
     fn grant(&mut self, now: MonotonicTime, attempt: &AttemptId, placement: Placement) {
-        let (target, class, account, place) = self.waiting.places[attempt].clone();
+        let (target, class, account, position) = self.waiting.positions[attempt].clone();
         let lane = &self.lanes[&(target.clone(), class)];
-        let (_, prompt) = lane.head_of(&account).expect("a granted ask heads its account");
-        let ask = prompt.ask.clone();
+        let (_, prompt) = lane.head_of(&account).expect("a granted request heads its account");
+        let request = prompt.request.clone();
         let work = prompt.work;
-        debug_assert_eq!(lane.head_of(&account).map(|(head, _)| head), Some(place));
+        debug_assert_eq!(lane.head_of(&account).map(|(head, _)| head), Some(position));
         self.withdraw(attempt);
         for (endpoint, part) in &placement {
             self.hold(endpoint, attempt, *part);
         }
         let meter = self.accounts.meter(&account);
-        meter.held += ask.need();
+        meter.held += request.need();
         let after = self.accounts.charge(&account, work);
-        // The account may wait in several lanes; all of them count the same work.
+        // The account may wait in several lanes, which all order it by the same virtual time.
         for lane_class in LengthClass::ALL {
             if let Some(lane) = self.lanes.get_mut(&(target.clone(), lane_class)) {
-                lane.move_to(&account, after);
+                lane.set_virtual_time(&account, after);
             }
         }
-        let backlog = self.note_running(&ask, class, &placement);
+        let backlog = self.record_running(&request, class, &placement);
         let members = placement.iter().map(|(endpoint, reserved)| GrantedEndpoint {
             endpoint: endpoint.clone(),
             data_centre: self.endpoints[endpoint].data_centre.clone(),
@@ -324,25 +336,26 @@
             lease: self.config.grant_lease,
         };
         let record = GrantRecord {
-            entry: ask.entry,
+            entry: request.entry,
             account,
             members: placement,
             class,
-            prompt: ask.prompt,
-            answer: ask.answer,
+            prompt: request.prompt,
+            answer: request.answer,
             backlog,
-            until: now + self.config.grant_lease,
+            expires_at: now + self.config.grant_lease,
         };
-        let twin = self.grants.insert(attempt.clone(), record);
-        assert!(twin.is_none(), "attempt {attempt} was granted twice");
+        let previous = self.grants.insert(attempt.clone(), record);
+        assert!(previous.is_none(), "attempt {attempt} was granted twice");
         self.counters.granted += 1;
         self.commands.push(HomeCommand::Grant(grant));
     }
 
-    /// Adds a prompt to the backlog of its leading endpoint; returns the tokens added.
-    fn note_running(
+    /// Records a granted prompt as running, and adds its uncached tokens to the backlog of its
+    /// leading endpoint; returns the tokens added.
+    fn record_running(
         &mut self,
-        ask: &GrantRequest,
+        request: &GrantRequest,
         class: LengthClass,
         placement: &Placement,
     ) -> u64 {
@@ -355,7 +368,7 @@
         if lead.service.is_some() {
             return 0;
         }
-        let backlog = ask.prompt.0 - lead.cached_tokens(&ask.prefix).min(ask.prompt.0);
+        let backlog = request.prompt.0 - lead.cached_tokens(&request.prefix).min(request.prompt.0);
         lead.backlog[usize::from(class.priority())] += backlog;
         backlog
     }
--- a/crates/scheduler/src/endpoint.rs
+++ b/crates/scheduler/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint in the eyes of its home.
+//! State of one endpoint at its home.
 
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
@@ -10,32 +10,32 @@
     TokenCount,
 };
 
-use crate::ask::WorkTarget;
 use crate::config::LengthClass;
+use crate::grant::WorkTarget;
 use crate::prefix::PREFIX_BLOCK_TOKENS;
 
-/// The most cached prefixes remembered of one endpoint.
-const MAX_CACHED: usize = 4_096;
+/// Maximum number of cached prefixes recorded for one endpoint.
+const MAX_CACHED_PREFIXES: usize = 4_096;
 
-/// Something that holds memory on an endpoint.
+/// Memory held by one attempt on an endpoint.
 #[derive(Debug, Clone)]
 pub(crate) struct MemoryHold {
     pub(crate) reserved: TokenCount,
     pub(crate) state: HoldState,
 }
 
-/// Why memory is held.
+/// Reason why memory is held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HoldState {
-    /// By a grant.
+    /// Held by a grant of this home.
     Granted,
-    /// Found on the endpoint by a new home; the entry has until then to renew it.
+    /// Found on the endpoint by a new home; cancelled unless the entry renews it before this time.
     Adopted(MonotonicTime),
-    /// Cancelled; held until the endpoint no longer lists it.
+    /// Cancelled at this time; held until the endpoint no longer lists it.
     Cancelling(MonotonicTime),
 }
 
-/// An endpoint with its part of the ledger.
+/// An endpoint with its part of the ledger, the record of the memory granted on it.
 #[derive(Debug)]
 pub(crate) struct EndpointEntry {
     pub(crate) data_centre: DataCentreId,
@@ -43,22 +43,25 @@
     pub(crate) incarnation: Incarnation,
     pub(crate) models: Vec<ModelId>,
     pub(crate) service: Option<ServiceName>,
+    /// Total memory; for a plain service, the number of concurrent calls.
     pub(crate) memory: TokenCount,
     pub(crate) prefill_rate: u64,
     pub(crate) role: PoolRole,
     pub(crate) state: EndpointState,
     pub(crate) last_heartbeat: MonotonicTime,
+    /// Time of the next inspection.
     pub(crate) inspect_due: MonotonicTime,
-    /// Before then, another home may still grant its memory.
+    /// Time before which another home may still grant the endpoint's memory.
     pub(crate) usable_from: MonotonicTime,
     pub(crate) inspected: bool,
     pub(crate) holds: BTreeMap<AttemptId, MemoryHold>,
     pub(crate) held: TokenCount,
-    /// Prompt tokens granted and not yet processed, by priority.
+    /// Granted prompt tokens that are not yet processed, by priority.
     pub(crate) backlog: [u64; 4],
-    /// Prompts above the short class that run here.
+    /// Number of running prompts above the short class.
     pub(crate) long_running: u32,
-    /// Streams listed without explanation, with the time at which they were first seen.
+    /// Streams that the endpoint lists without a grant of this home, with their memory and the time
+    /// of the first listing.
     pub(crate) unexplained: BTreeMap<AttemptId, (TokenCount, MonotonicTime)>,
     cached: HashSet<PrefixHash>,
     next_cache_sequence: Option<u64>,
@@ -105,7 +108,8 @@
         }
     }
 
-    /// Makes a joining endpoint live once what it holds is known and no other home can grant.
+    /// Makes a joining endpoint live once its held memory is known and no other home can grant
+    /// memory on it.
     pub(crate) fn finish_joining(&mut self, now: MonotonicTime) {
         if self.state == EndpointState::Joining && self.inspected && now >= self.usable_from {
             self.state = EndpointState::Live;
@@ -123,7 +127,7 @@
         TokenCount(self.memory.0.saturating_sub(self.held.0))
     }
 
-    /// Returns the memory that a prompt of the class may still take.
+    /// Returns the memory that a prompt of the class may take at present.
     pub(crate) fn room(&self, class: LengthClass, guard_percent: u64) -> TokenCount {
         if class == LengthClass::Short || self.service.is_some() {
             return self.free();
@@ -135,7 +139,7 @@
         TokenCount(self.free().0.saturating_sub(guarded))
     }
 
-    /// Returns the most that one prompt of the class can ever take here.
+    /// Returns the maximum memory that one prompt of the class can ever take on this endpoint.
     pub(crate) fn capacity(&self, class: LengthClass, guard_percent: u64) -> TokenCount {
         if class == LengthClass::Short || self.service.is_some() {
             return self.memory;
@@ -146,7 +150,7 @@
         TokenCount(self.memory.0 - self.memory.0 * guard_percent / 100)
     }
 
-    /// Returns how many tokens of a prompt's beginning are probably cached here.
+    /// Returns the number of tokens of a prompt's prefix that are probably cached on this endpoint.
     pub(crate) fn cached_tokens(&self, prefix: &[PrefixHash]) -> u64 {
         if self.cached.is_empty() {
             return 0;
@@ -155,19 +159,20 @@
         (blocks * PREFIX_BLOCK_TOKENS) as u64
     }
 
-    /// Returns whether a prompt above the short class runs here.
+    /// Returns whether no prompt above the short class runs on this endpoint.
     pub(crate) fn is_clear(&self) -> bool {
         self.long_running == 0
     }
 
-    /// Returns whether a prompt above the short class is being processed here, so that every
-    /// step is as long as a step can be.
+    /// Returns whether a prompt above the short class is in prefill on this endpoint, in which
+    /// case every step has the maximum length.
     pub(crate) fn processes_long(&self) -> bool {
         let short = usize::from(LengthClass::Short.priority());
         self.backlog[..short].iter().any(|tokens| *tokens > 0)
     }
 
-    /// Takes in cache events. After a gap nothing is known: what was cached may be gone.
+    /// Applies cache events. A gap in the sequence clears the recorded prefixes, because the
+    /// missing events may have evicted any of them.
     pub(crate) fn cache_events(&mut self, first_sequence: u64, changes: &[CacheChange]) {
         if self.next_cache_sequence.is_some_and(|expected| expected != first_sequence) {
             self.cache_gaps += 1;
@@ -176,7 +181,7 @@
         self.next_cache_sequence = Some(first_sequence + changes.len() as u64);
         for change in changes {
             match change {
-                CacheChange::Stored(hash) if self.cached.len() < MAX_CACHED => {
+                CacheChange::Stored(hash) if self.cached.len() < MAX_CACHED_PREFIXES => {
                     self.cached.insert(*hash);
                 }
                 CacheChange::Stored(_) => {}
--- a/crates/scheduler/src/ask.rs
+++ b/crates/scheduler/src/grant.rs
@@ -1,4 +1,4 @@
-//! What entries ask of a home and what it answers.
+//! Messages between an entry and a home: grant requests, grants and refusals.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// What a request needs an endpoint for.
+/// The target that a request needs an endpoint for.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum WorkTarget {
     /// A model.
@@ -19,33 +19,33 @@
     Service(ServiceName),
 }
 
-/// An entry asks for the use of an endpoint.
+/// A request of an entry for the use of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantRequest {
-    /// The attempt; fresh for every ask.
+    /// The attempt; unique for each grant request.
     pub attempt: AttemptId,
-    /// The entry.
+    /// The instance that the caller's request arrived at.
     pub entry: InstanceId,
-    /// The account.
+    /// The client account that is charged.
     pub account: AccountId,
-    /// What is needed.
+    /// The model or service that is needed.
     pub target: WorkTarget,
-    /// The prompt's length; 1 for a plain service.
+    /// Length of the prompt; 1 for a plain service.
     pub prompt: TokenCount,
-    /// The longest answer; 0 for a plain service.
+    /// Maximum length of the answer; 0 for a plain service.
     pub answer: TokenCount,
-    /// How urgent it is within its account.
+    /// Priority within the account.
     pub priority: RequestPriority,
-    /// How long the entry will wait for the grant.
+    /// Time-out after which the entry no longer waits for the grant.
     pub patience: Duration,
-    /// Hashes of the prompt's beginnings, the shortest first.
+    /// Hashes of the prompt's prefixes, the shortest first.
     pub prefix: Vec<PrefixHash>,
-    /// Endpoints that failed this request already.
+    /// Endpoints that have already failed this request.
     pub exclude: Vec<EndpointId>,
 }
 
 impl GrantRequest {
-    /// Returns the memory that the request needs for its whole life.
+    /// Returns the memory that the request needs for its whole lifetime.
     pub fn need(&self) -> TokenCount {
         self.prompt + self.answer
     }
@@ -56,93 +56,93 @@
 pub struct GrantedEndpoint {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Its data centre, which together with its id tells its shard.
+    /// The endpoint's data centre, which determines its shard together with its id.
     pub data_centre: DataCentreId,
-    /// Where it takes work.
+    /// The address that accepts work.
     pub address: SocketAddr,
-    /// Memory set aside there.
+    /// Memory reserved on the endpoint.
     pub reserved: TokenCount,
 }
 
-/// Permission to use endpoints.
+/// Permission to use endpoints for one attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptGrant {
     /// The attempt.
     pub attempt: AttemptId,
-    /// The endpoints; the first one leads.
+    /// The endpoints of the group; the first is the leading endpoint.
     pub members: Vec<GrantedEndpoint>,
-    /// The priority to give to the engine.
+    /// The priority that the engine processes the prompt with.
     pub priority: u8,
-    /// How long it lasts without renewal.
+    /// Validity of the grant without renewal.
     pub lease: Duration,
 }
 
-/// Why a home refuses.
+/// Reason why a home refuses a grant request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GrantRefusal {
-    /// No endpoint of this home serves it.
+    /// No endpoint of this home serves the target.
     NotServed,
-    /// Every endpoint of this home that serves it has failed this request already.
+    /// Every endpoint of this home that serves the target has already failed this request.
     AllExcluded,
-    /// It needs more memory than its endpoints may ever give.
+    /// The request needs more memory than its endpoints may ever grant.
     TooBig {
-        /// The most that a request may need here.
+        /// Maximum memory of one request at this home.
         limit: TokenCount,
     },
-    /// There is no room in the queue, or no hope to be served in time.
+    /// The queue is full, or the request was not served before its time-out.
     Busy {
-        /// When to come back.
+        /// Delay before the next grant request.
         retry_after: Duration,
     },
-    /// The account has too much waiting already.
+    /// The account's queue is full.
     AccountBusy {
-        /// When to come back.
+        /// Delay before the next grant request.
         retry_after: Duration,
     },
-    /// The daemon is not, or no longer, the home.
+    /// The daemon is not, or is no longer, the home.
     NotHome,
 }
 
-/// Why an entry gives a grant back.
+/// Reason why an entry releases a grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReleaseReason {
-    /// The endpoint itself ended the work, so it holds nothing any more.
+    /// The endpoint itself ended the work, so it no longer holds memory for the attempt.
     Ended {
-        /// Tokens of answer produced.
+        /// Answer tokens produced.
         tokens: TokenCount,
     },
-    /// Nothing was sent, so the endpoint never held anything.
+    /// Nothing was sent, so the endpoint never held memory for the attempt.
     NeverSent,
-    /// The connection broke or the work was given up; the endpoint may still hold it.
+    /// The connection broke or the entry abandoned the work; the endpoint may still hold memory.
     Abandoned,
 }
 
-/// What a home wants done.
+/// A command that the home's caller carries out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HomeCommand {
-    /// Tell the entry that it may use endpoints.
+    /// Send a grant to the entry.
     Grant(PromptGrant),
-    /// Tell the entry that it may not.
+    /// Send a refusal to the entry.
     Refuse {
         /// The attempt.
         attempt: AttemptId,
-        /// Why.
+        /// The reason.
         refusal: GrantRefusal,
     },
-    /// Make an endpoint drop an attempt.
+    /// Cancel an attempt on an endpoint.
     Cancel {
         /// The endpoint.
         endpoint: EndpointId,
-        /// Where it takes calls.
+        /// The address that accepts control calls.
         address: SocketAddr,
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Ask an endpoint what it holds.
+    /// Query an endpoint for the streams that it holds.
     Inspect {
         /// The endpoint.
         endpoint: EndpointId,
-        /// Where it takes calls.
+        /// The address that accepts control calls.
         address: SocketAddr,
     },
 }
--- a/crates/scheduler/src/home.rs
+++ b/crates/scheduler/src/home.rs
@@ -1,4 +1,4 @@
-//! The home of a shard: what it knows, and the events that change it.
+//! State of a home and the events that change it.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -10,20 +10,21 @@
     TokenCount,
 };
 
-use crate::ask::{GrantRefusal, GrantRequest, HomeCommand, ReleaseReason, WorkTarget};
 use crate::config::{LengthClass, SchedulerConfig};
 use crate::dispatch::WaitingIndex;
 use crate::endpoint::{EndpointEntry, HoldState, MemoryHold};
-use crate::fairness::AccountBook;
+use crate::fairness::AccountTable;
+use crate::grant::{GrantRefusal, GrantRequest, HomeCommand, ReleaseReason, WorkTarget};
 use crate::lane::PromptLane;
 use crate::placement::EngineReservation;
 use crate::rate::ArrivalRate;
 
-/// How long another home may take to stop, in percent of the suspect time: its clock may be
-/// slower than this one's.
-const SUSPECT_DRIFT_PERCENT: u32 = 115;
+/// Time after which another home has certainly stopped granting an endpoint's memory, in percent of
+/// the suspect time-out: the other home's clock may be slower than this one's.
+const SUSPECT_TIMEOUT_DRIFT_PERCENT: u32 = 115;
 
-/// The endpoint is not known here, or in another life; it has to announce itself again.
+/// The endpoint is unknown to this home, or known with another incarnation. It has to announce
+/// itself again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UnknownEndpoint;
 
@@ -36,27 +37,27 @@
     pub(crate) class: LengthClass,
     pub(crate) prompt: TokenCount,
     pub(crate) answer: TokenCount,
-    /// Prompt tokens that count as backlog on the leading endpoint until it has started.
+    /// Prompt tokens that count as backlog on the leading endpoint until the first token arrives.
     pub(crate) backlog: u64,
-    pub(crate) until: MonotonicTime,
+    pub(crate) expires_at: MonotonicTime,
 }
 
-/// Counts of what the home did.
+/// Counters of the home's actions.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct HomeCounters {
-    /// Grants given.
+    /// Grants issued.
     pub granted: u64,
-    /// Asks refused.
+    /// Grant requests refused.
     pub refused: u64,
-    /// Grants that ended because nobody renewed them.
+    /// Grants that expired without renewal.
     pub expired_grants: u64,
-    /// Streams cancelled because nothing explained them.
+    /// Streams cancelled because no grant explains them.
     pub cancelled_unexplained: u64,
-    /// Reservations made for prompts that did not fit.
+    /// Engine reservations made for prompts that did not fit.
     pub reservations: u64,
 }
 
-/// Decides for the endpoints of the shards whose home this daemon is.
+/// Schedules the endpoints of the shards whose home this daemon is.
 #[derive(Debug)]
 pub struct HomeScheduler {
     pub(crate) config: SchedulerConfig,
@@ -64,14 +65,14 @@
     pub(crate) grants: HashMap<AttemptId, GrantRecord>,
     pub(crate) lanes: BTreeMap<(WorkTarget, LengthClass), PromptLane>,
     pub(crate) waiting: WaitingIndex,
-    pub(crate) accounts: AccountBook,
+    pub(crate) accounts: AccountTable,
     pub(crate) reservation: Option<EngineReservation>,
     pub(crate) commands: Vec<HomeCommand>,
     pub(crate) counters: HomeCounters,
-    pub(crate) next_place: u64,
+    pub(crate) next_sequence: u64,
     /// The time of the latest event.
     pub(crate) now: MonotonicTime,
-    /// Short prompts asked for.
+    /// Arrival rate of short prompts.
     pub(crate) short_rate: ArrivalRate,
 }
 
@@ -84,32 +85,32 @@
             grants: HashMap::new(),
             lanes: BTreeMap::new(),
             waiting: WaitingIndex::default(),
-            accounts: AccountBook::default(),
+            accounts: AccountTable::default(),
             reservation: None,
             commands: Vec::new(),
             counters: HomeCounters::default(),
-            next_place: 0,
+            next_sequence: 0,
             now: MonotonicTime::ZERO,
             short_rate: ArrivalRate::default(),
         }
     }
 
-    /// Returns what is to be done since the last call.
+    /// Returns the commands produced since the last call.
     pub fn take_commands(&mut self) -> Vec<HomeCommand> {
         std::mem::take(&mut self.commands)
     }
 
-    /// Sets an account's share and its limit of memory.
+    /// Sets an account's share and its memory limit.
     pub fn set_share(&mut self, account: &AccountId, share: u32, max_held: Option<TokenCount>) {
         self.accounts.set_share(account, share, max_held);
     }
 
-    /// Takes an endpoint in, or notes that it is alive.
+    /// Adds an endpoint, or records the announcement of a known endpoint as a heartbeat.
     ///
-    /// An endpoint belongs to the home that it sends its heartbeats to: a home without them
-    /// grants nothing after the suspect time. One that comes from another home, which has not
-    /// released it, is used only once that time has passed there for certain, so that two
-    /// homes never grant the same memory.
+    /// An endpoint belongs to the home that it sends its heartbeats to. A home that receives no
+    /// heartbeats grants nothing on the endpoint after the suspect time-out. An endpoint that comes
+    /// from another home without having been released there is used only after that time-out has
+    /// certainly passed at the other home, so that two homes never grant the same memory.
     pub fn announce(
         &mut self,
         now: MonotonicTime,
@@ -118,9 +119,10 @@
     ) {
         let usable_from = match announcement.other_home_ms {
             None => now,
-            Some(silent) => {
-                let other_stops = self.config.endpoint_suspect * SUSPECT_DRIFT_PERCENT / 100;
-                now + other_stops.saturating_sub(Duration::from_millis(silent))
+            Some(silent_ms) => {
+                let other_home_timeout =
+                    self.config.endpoint_suspect * SUSPECT_TIMEOUT_DRIFT_PERCENT / 100;
+                now + other_home_timeout.saturating_sub(Duration::from_millis(silent_ms))
             }
         };
         let id = &announcement.endpoint;
@@ -132,17 +134,17 @@
                 entry.last_heartbeat = now;
             }
             _ => {
-                // Another life: whatever the earlier one held is gone with it. What waits may
-                // still be served by the new one.
+                // The endpoint is new or has restarted, and a restart frees all memory that the
+                // earlier incarnation held. The new incarnation may serve waiting requests.
                 let entry = EndpointEntry::new(announcement, role, now, usable_from);
                 self.endpoints.insert(id.clone(), entry);
                 self.drop_reservation_on(&announcement.endpoint);
-                self.inspect_due(now);
+                self.inspect_due_endpoints(now);
             }
         }
     }
 
-    /// Takes in a heartbeat.
+    /// Records a heartbeat.
     ///
     /// # Errors
     ///
@@ -152,7 +154,7 @@
         now: MonotonicTime,
         heartbeat: &EndpointHeartbeat,
     ) -> Result<(), UnknownEndpoint> {
-        let entry = self.known(&heartbeat.endpoint, heartbeat.incarnation)?;
+        let entry = self.known_endpoint(&heartbeat.endpoint, heartbeat.incarnation)?;
         entry.last_heartbeat = now;
         if entry.state == EndpointState::Suspect {
             entry.state = EndpointState::Live;
@@ -161,34 +163,34 @@
         Ok(())
     }
 
-    /// Takes in cache events.
+    /// Applies cache events of an endpoint.
     ///
     /// # Errors
     ///
     /// Returns an error when the endpoint has to announce itself again.
     pub fn cache_events(&mut self, events: &CacheEvents) -> Result<(), UnknownEndpoint> {
-        let entry = self.known(&events.endpoint, events.incarnation)?;
+        let entry = self.known_endpoint(&events.endpoint, events.incarnation)?;
         entry.cache_events(events.first_sequence, &events.changes);
         Ok(())
     }
 
-    /// Notes that an endpoint leaves: it gets nothing new from now on.
+    /// Marks an endpoint as leaving. It gets no new work.
     ///
     /// # Errors
     ///
-    /// Returns an error when the endpoint is not known here.
+    /// Returns an error when the endpoint is unknown to this home.
     pub fn leave(
         &mut self,
         endpoint: &EndpointId,
         incarnation: Incarnation,
     ) -> Result<(), UnknownEndpoint> {
-        self.known(endpoint, incarnation)?.state = EndpointState::Leaving;
+        self.known_endpoint(endpoint, incarnation)?.state = EndpointState::Leaving;
         self.drop_reservation_on(endpoint);
-        self.refuse_hopeless();
+        self.refuse_unservable();
         Ok(())
     }
 
-    fn known(
+    fn known_endpoint(
         &mut self,
         endpoint: &EndpointId,
         incarnation: Incarnation,
@@ -197,68 +199,72 @@
         entry.filter(|entry| entry.incarnation == incarnation).ok_or(UnknownEndpoint)
     }
 
-    /// Notes that an attempt's first token has come, so that its prompt is no backlog any more.
+    /// Records that an attempt's first token has arrived: removes its prompt from the backlog and
+    /// renews its grant.
     pub fn started(&mut self, now: MonotonicTime, attempt: &AttemptId) {
         let Some(grant) = self.grants.get_mut(attempt) else { return };
         let backlog = std::mem::take(&mut grant.backlog);
         let (class, lead) = (grant.class, grant.members[0].0.clone());
-        grant.until = now + self.config.grant_lease;
+        grant.expires_at = now + self.config.grant_lease;
         self.reduce_backlog(&lead, class, backlog);
     }
 
-    /// Renews grants. Returns those that are not known here, which their entry should know.
+    /// Renews grants of an entry; returns the attempts that are unknown to this home.
     pub fn renew(
         &mut self,
         now: MonotonicTime,
         entry: &InstanceId,
         attempts: &[AttemptId],
     ) -> Vec<AttemptId> {
-        let until = now + self.config.grant_lease;
+        let expires_at = now + self.config.grant_lease;
         let mut unknown = Vec::new();
         for attempt in attempts {
             let grant = self.grants.get_mut(attempt).filter(|grant| grant.entry == *entry);
             if let Some(grant) = grant {
-                grant.until = until;
-            } else if !self.renew_adopted(attempt, until) {
+                grant.expires_at = expires_at;
+            } else if !self.renew_adopted(attempt, expires_at) {
                 unknown.push(attempt.clone());
             }
         }
         unknown
     }
 
-    /// Renews a stream that an earlier home granted. It was found on the endpoint when this
-    /// home took over, or it arrived there a moment later, in which case it is adopted now.
-    fn renew_adopted(&mut self, attempt: &AttemptId, until: MonotonicTime) -> bool {
+    /// Renews a stream that an earlier home granted; returns whether the stream is known. The
+    /// stream was found on the endpoint when this home took over, or it reached the endpoint
+    /// shortly afterwards and is adopted now.
+    fn renew_adopted(&mut self, attempt: &AttemptId, expires_at: MonotonicTime) -> bool {
         let mut found = false;
         for entry in self.endpoints.values_mut() {
             if let Some((reserved, _)) = entry.unexplained.remove(attempt) {
-                let state = HoldState::Adopted(until);
+                let state = HoldState::Adopted(expires_at);
                 entry.holds.insert(attempt.clone(), MemoryHold { reserved, state });
                 entry.held += reserved;
                 found = true;
             } else if let Some(hold) = entry.holds.get_mut(attempt)
                 && let HoldState::Adopted(due) = &mut hold.state
             {
-                *due = until;
+                *due = expires_at;
                 found = true;
             }
         }
         found
     }
 
-    /// Ends a grant, or an ask that still waits.
+    /// Ends a grant, or withdraws a request that still waits.
     pub fn release(&mut self, now: MonotonicTime, attempt: &AttemptId, reason: ReleaseReason) {
         if self.withdraw(attempt) {
             return;
         }
         match self.grants.remove(attempt) {
-            Some(grant) => self.settle(now, attempt, &grant, reason),
+            Some(grant) => self.settle_grant(now, attempt, &grant, reason),
             None => self.release_adopted(now, attempt, reason),
         }
         self.dispatch_all(now);
     }
 
-    fn settle(
+    /// Frees the memory of a grant that has ended, or cancels it on engines that may still hold it,
+    /// and refunds the unused work.
+    fn settle_grant(
         &mut self,
         now: MonotonicTime,
         attempt: &AttemptId,
@@ -285,14 +291,14 @@
         };
         self.accounts.refund(&grant.account, unused);
         for (position, (member, _)) in grant.members.iter().enumerate() {
-            // The end of the answer proves that the leading engine is done with it. The others
-            // of a group are told separately, which may get lost.
-            let certain = match reason {
+            // The end of the answer proves that the leading engine has freed its memory. The other
+            // engines of a group are notified by separate messages, which may get lost.
+            let is_freed = match reason {
                 ReleaseReason::NeverSent => true,
                 ReleaseReason::Ended { .. } => position == 0,
                 ReleaseReason::Abandoned => false,
             };
-            if certain {
+            if is_freed {
                 self.free(member, attempt);
             } else {
                 self.cancel_hold(now, member, attempt);
@@ -324,14 +330,15 @@
         }
     }
 
-    /// Lets time pass: leases end, endpoints become suspect or are forgotten, asks expire.
+    /// Advances the time: expires leases and waiting requests, and marks endpoints as suspect or
+    /// removes them.
     pub fn tick(&mut self, now: MonotonicTime) {
         self.short_rate.tick(now);
         self.expire_grants(now);
         self.expire_holds(now);
         self.expire_waiting(now);
         self.age_endpoints(now);
-        self.inspect_due(now);
+        self.inspect_due_endpoints(now);
         self.dispatch_all(now);
     }
 
@@ -339,13 +346,13 @@
         let expired: Vec<AttemptId> = self
             .grants
             .iter()
-            .filter(|(_, grant)| now >= grant.until)
+            .filter(|(_, grant)| now >= grant.expires_at)
             .map(|(attempt, _)| attempt.clone())
             .collect();
         for attempt in expired {
             self.counters.expired_grants += 1;
             let grant = self.grants.remove(&attempt).expect("listed above");
-            self.settle(now, &attempt, &grant, ReleaseReason::Abandoned);
+            self.settle_grant(now, &attempt, &grant, ReleaseReason::Abandoned);
         }
     }
 
@@ -362,15 +369,16 @@
             }
         }
         for id in lost {
-            self.forget_endpoint(&id);
+            self.drop_endpoint(&id);
         }
     }
 
-    /// Forgets an endpoint with all that it holds. Entries notice by their broken connections.
-    fn forget_endpoint(&mut self, id: &EndpointId) {
+    /// Removes an endpoint with its held memory. Entries detect the loss by their broken
+    /// connections.
+    fn drop_endpoint(&mut self, id: &EndpointId) {
         if self.endpoints.remove(id).is_some() {
             self.drop_reservation_on(id);
-            self.refuse_hopeless();
+            self.refuse_unservable();
         }
     }
 
@@ -381,18 +389,19 @@
         }
     }
 
-    fn inspect_due(&mut self, now: MonotonicTime) {
+    fn inspect_due_endpoints(&mut self, now: MonotonicTime) {
         for (id, entry) in &mut self.endpoints {
             if now >= entry.inspect_due {
-                entry.inspect_due = now + self.config.inspect_every;
+                entry.inspect_due = now + self.config.inspect_interval;
                 let (endpoint, address) = (id.clone(), entry.address);
                 self.commands.push(HomeCommand::Inspect { endpoint, address });
             }
         }
     }
 
-    /// Refuses everything that waits, because this daemon is the home no longer.
-    pub fn give_up(&mut self) {
+    /// Refuses all waiting requests and clears the endpoints and grants, because this daemon is no
+    /// longer the home.
+    pub fn step_down(&mut self) {
         for attempt in self.waiting.attempts() {
             self.withdraw(&attempt);
             let refusal = GrantRefusal::NotHome;
@@ -403,14 +412,14 @@
         self.reservation = None;
     }
 
-    /// Lets an endpoint go that has another home now; returns whether it was here.
+    /// Removes an endpoint that another home serves now; returns whether it was known here.
     pub fn remove_endpoint(&mut self, endpoint: &EndpointId) -> bool {
         let known = self.endpoints.contains_key(endpoint);
-        self.forget_endpoint(endpoint);
+        self.drop_endpoint(endpoint);
         known
     }
 
-    /// Drops the endpoints that `keep` does not accept, because their home is elsewhere now.
+    /// Removes the endpoints that `keep` rejects, because another home serves them now.
     pub fn retain_endpoints(&mut self, keep: impl Fn(&EndpointId, &DataCentreId) -> bool) {
         let lost: Vec<EndpointId> = self
             .endpoints
@@ -418,10 +427,10 @@
             .filter(|(id, entry)| !keep(id, &entry.data_centre))
             .map(|(id, _)| id.clone())
             .collect();
-        lost.iter().for_each(|id| self.forget_endpoint(id));
+        lost.iter().for_each(|id| self.drop_endpoint(id));
     }
 
-    /// Lists the endpoints.
+    /// Returns the operators' views of the endpoints.
     pub fn endpoint_views(&self) -> Vec<EndpointView> {
         let view = |(id, entry): (&EndpointId, &EndpointEntry)| EndpointView {
             endpoint: id.clone(),
@@ -433,7 +442,7 @@
         self.endpoints.iter().map(view).collect()
     }
 
-    /// Returns the number of asks that wait.
+    /// Returns the number of waiting requests.
     pub fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
@@ -443,18 +452,18 @@
         self.grants.len()
     }
 
-    /// Returns what the home did so far.
+    /// Returns the counters of the home's actions so far.
     pub fn counters(&self) -> HomeCounters {
         self.counters
     }
 
-    /// Returns the work charged to each account so far, in tokens of prompt.
+    /// Returns the work charged to each account so far, in prompt tokens.
     pub fn served(&self) -> Vec<(AccountId, u64)> {
         self.accounts.iter().map(|(account, meter)| (account.clone(), meter.served)).collect()
     }
 
-    /// Returns the work that an ask will be charged.
-    pub(crate) fn work_of(&self, ask: &GrantRequest) -> u64 {
-        ask.prompt.0 + ask.answer.0 * self.config.answer_weight
+    /// Returns the work that a request is charged, in prompt tokens.
+    pub(crate) fn work_of(&self, request: &GrantRequest) -> u64 {
+        request.prompt.0 + request.answer.0 * self.config.answer_weight
     }
 }
--- a/crates/scheduler/src/ledger.rs
+++ b/crates/scheduler/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger: what holds memory, and the comparison with what endpoints say they hold.
+//! Maintains the ledger of held memory and reconciles it with the streams that endpoints list.
 
 use std::collections::BTreeSet;
 
@@ -6,17 +6,17 @@
 use oriolepass_schema::operator::EndpointState;
 use oriolepass_units::{AttemptId, EndpointId, MonotonicTime, TokenCount};
 
-use crate::ask::HomeCommand;
 use crate::endpoint::{HoldState, MemoryHold};
+use crate::grant::HomeCommand;
 use crate::home::HomeScheduler;
 
 impl HomeScheduler {
-    /// Takes in what an endpoint holds, as it answered an [`HomeCommand::Inspect`] that was
-    /// sent at `asked`.
+    /// Reconciles the ledger with the streams that an endpoint holds, as listed in its answer to an
+    /// [`HomeCommand::Inspect`] that was sent at `requested_at`.
     pub fn held_streams(
         &mut self,
         now: MonotonicTime,
-        asked: MonotonicTime,
+        requested_at: MonotonicTime,
         endpoint: &EndpointId,
         streams: &[HeldStream],
     ) {
@@ -30,8 +30,8 @@
                 continue;
             }
             if joining {
-                // Found by a new home. The entry that runs it renews it within a lease, or it
-                // is an orphan.
+                // The stream was granted by an earlier home. It is an orphan unless its entry
+                // renews it within the grant lease.
                 let state = HoldState::Adopted(now + lease);
                 entry.holds.insert(
                     stream.attempt.clone(),
@@ -49,14 +49,14 @@
             .filter(|(_, (_, since))| now.since(*since) >= grace)
             .map(|(attempt, _)| attempt.clone())
             .collect();
-        // A cancelled stream is free once a list that was asked for after the cancellation no
-        // longer shows it.
+        // The memory of a cancelled stream is free once a list that was requested after the
+        // cancellation no longer contains the stream. An earlier list proves nothing.
         let gone: Vec<AttemptId> = entry
             .holds
             .iter()
             .filter(|(attempt, hold)| {
                 let HoldState::Cancelling(since) = hold.state else { return false };
-                asked >= since && !listed.contains(attempt)
+                requested_at >= since && !listed.contains(attempt)
             })
             .map(|(attempt, _)| attempt.clone())
             .collect();
@@ -72,22 +72,22 @@
         self.dispatch_all(now);
     }
 
-    /// Sets memory aside.
+    /// Reserves memory on an endpoint for an attempt.
     ///
     /// # Panics
     ///
-    /// Panics when the endpoint has less memory than that: a ledger that gives the same memory
-    /// out twice makes an engine drop somebody's work.
+    /// Panics when the endpoint has less free memory than needed: a ledger that grants the same
+    /// memory twice makes an engine drop running work.
     pub(crate) fn hold(&mut self, endpoint: &EndpointId, attempt: &AttemptId, need: TokenCount) {
         let entry = self.endpoints.get_mut(endpoint).expect("a placed prompt's endpoint");
-        assert!(need <= entry.free(), "{endpoint} has {} free, not {need}", entry.free());
+        assert!(need <= entry.free(), "{endpoint} has {} free, {need} needed", entry.free());
         let hold = MemoryHold { reserved: need, state: HoldState::Granted };
         let before = entry.holds.insert(attempt.clone(), hold);
         assert!(before.is_none(), "attempt {attempt} holds memory on {endpoint} twice");
         entry.held += need;
     }
 
-    /// Frees what an attempt holds on an endpoint.
+    /// Frees the memory that an attempt holds on an endpoint.
     pub(crate) fn free(&mut self, endpoint: &EndpointId, attempt: &AttemptId) {
         let Some(entry) = self.endpoints.get_mut(endpoint) else { return };
         if let Some(hold) = entry.holds.remove(attempt) {
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Cancels what an attempt may still hold on an endpoint; it counts as held until the
-    /// endpoint no longer lists it.
+    /// Cancels an attempt that may still hold memory on an endpoint. The memory counts as held
+    /// until the endpoint no longer lists the attempt.
     pub(crate) fn cancel_hold(
         &mut self,
         now: MonotonicTime,
@@ -116,7 +116,8 @@
         });
     }
 
-    /// Cancels adopted streams that nobody renewed, and sends again what was not confirmed.
+    /// Cancels adopted streams that were not renewed in time, and resends cancellations that the
+    /// endpoint has not confirmed.
     pub(crate) fn expire_holds(&mut self, now: MonotonicTime) {
         let grace = self.config.unexplained_grace;
         let due: Vec<(EndpointId, AttemptId)> = self
@@ -126,7 +127,7 @@
                 entry.holds.iter().filter_map(move |(attempt, hold)| {
                     let due = match hold.state {
                         HoldState::Granted => false,
-                        HoldState::Adopted(until) => now >= until,
+                        HoldState::Adopted(expires_at) => now >= expires_at,
                         HoldState::Cancelling(since) => now.since(since) >= grace,
                     };
                     due.then(|| (endpoint.clone(), attempt.clone()))
@@ -136,7 +137,7 @@
         for (endpoint, attempt) in due {
             self.cancel_hold(now, &endpoint, &attempt);
             let entry = self.endpoints.get_mut(&endpoint).expect("listed above");
-            // The next repetition is a grace away.
+            // Restarts the grace period, after which the cancellation is sent again.
             entry.holds.get_mut(&attempt).expect("listed above").state = HoldState::Cancelling(now);
         }
     }
--- a/crates/scheduler/src/prefix.rs
+++ b/crates/scheduler/src/prefix.rs
@@ -1,25 +1,26 @@
-//! Hashes that stand for the beginnings of prompts.
+//! Computes chained hashes of prompt prefixes, which identify cached prefixes.
 
 use oriolepass_schema::caller::{BYTES_PER_TOKEN, PromptBody};
 use oriolepass_units::PrefixHash;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Tokens between two hashes.
+/// Tokens in each hashed block.
 pub const PREFIX_BLOCK_TOKENS: usize = 1_024;
 
-/// The most hashes of one prompt, so that an ask stays small.
-const MAX_HASHES: usize = 32;
+/// Maximum number of hashes for one prompt, which bounds the size of a grant request.
+const MAX_PREFIX_HASHES: usize = 32;
 
-/// Hashes a prompt's beginnings, each block chained to the one before.
+/// Computes the hashes of a prompt's prefixes. The hash of each block is seeded with the hash of
+/// the previous block.
 pub fn prefix_hashes(prompt: &PromptBody) -> Vec<PrefixHash> {
     match prompt {
-        PromptBody::Text(text) => chain(
+        PromptBody::Text(text) => chain_hashes(
             text.as_bytes()
                 .chunks_exact(PREFIX_BLOCK_TOKENS * BYTES_PER_TOKEN)
                 .map(|block| move |seed| xxh3_64_with_seed(block, seed)),
         ),
         PromptBody::Tokens(tokens) => {
-            chain(tokens.chunks_exact(PREFIX_BLOCK_TOKENS).map(|block| {
+            chain_hashes(tokens.chunks_exact(PREFIX_BLOCK_TOKENS).map(|block| {
                 move |seed| {
                     let bytes: Vec<u8> = block.iter().flat_map(|t| t.to_le_bytes()).collect();
                     xxh3_64_with_seed(&bytes, seed)
@@ -29,9 +30,9 @@
     }
 }
 
-fn chain<F: FnOnce(u64) -> u64>(blocks: impl Iterator<Item = F>) -> Vec<PrefixHash> {
+fn chain_hashes<F: FnOnce(u64) -> u64>(blocks: impl Iterator<Item = F>) -> Vec<PrefixHash> {
     blocks
-        .take(MAX_HASHES)
+        .take(MAX_PREFIX_HASHES)
         .scan(0, |seed, hash| {
             *seed = hash(*seed);
             Some(PrefixHash(*seed))
--- a/crates/scheduler/src/rate.rs
+++ b/crates/scheduler/src/rate.rs
@@ -1,16 +1,16 @@
-//! How much work of a kind arrives.
+//! Measures the arrival rate of work.
 
 use std::time::Duration;
 
 use oriolepass_units::MonotonicTime;
 
-/// The span over which arrivals are counted before they enter the average.
-const WINDOW: Duration = Duration::from_millis(500);
+/// Minimum span over which arrivals are counted before they enter the average.
+const AVERAGING_WINDOW: Duration = Duration::from_millis(500);
 
-/// The part of the average that one window makes up, as one in so many.
-const SMOOTHING: u64 = 8;
+/// Divisor of the moving average: each window has the weight `1 / SMOOTHING_DIVISOR`.
+const SMOOTHING_DIVISOR: u64 = 8;
 
-/// A moving average of tokens a second.
+/// An exponential moving average of arriving tokens per second.
 #[derive(Debug, Default)]
 pub(crate) struct ArrivalRate {
     window_since: MonotonicTime,
@@ -23,15 +23,15 @@
         self.in_window += tokens;
     }
 
-    /// Closes the windows that are over.
+    /// Adds the current window to the average once the window is over.
     pub(crate) fn tick(&mut self, now: MonotonicTime) {
         let span = now.since(self.window_since);
-        if span < WINDOW {
+        if span < AVERAGING_WINDOW {
             return;
         }
         let millis = u64::try_from(span.as_millis()).unwrap_or(u64::MAX).max(1);
         let present = self.in_window.saturating_mul(1_000) / millis;
-        self.average = (self.average * (SMOOTHING - 1) + present) / SMOOTHING;
+        self.average = (self.average * (SMOOTHING_DIVISOR - 1) + present) / SMOOTHING_DIVISOR;
         self.window_since = now;
         self.in_window = 0;
     }
--- a/crates/scheduler/tests/ledger.rs
+++ b/crates/scheduler/tests/ledger.rs
@@ -1,5 +1,6 @@
-//! The home against a simple oracle: memory is never granted twice, every ask is answered once,
-//! nothing is lost when all has ended, and a large prompt is not starved by small ones.
+//! Compares the home with a simple model of the engines: memory is never granted twice, every
+//! request is answered once, no memory stays held after all work has ended, and small prompts do
+//! not starve a large prompt.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,16 +16,16 @@
 use oriolepass_units::{AttemptId, EndpointId, Incarnation, MonotonicTime, TokenCount, TokenRate};
 use proptest::prelude::*;
 
-const MEMORY: u64 = 100_000;
+const ENGINE_MEMORY_TOKENS: u64 = 100_000;
 
-/// One step.
+/// One step of a random run.
 #[derive(Debug, Clone)]
 enum Step {
-    Ask { account: u8, prompt: u64 },
+    Request { account: u8, prompt: u64 },
     End { which: usize },
     Abandon { which: usize },
     Withdraw { which: usize },
-    Pass { millis: u64 },
+    Advance { millis: u64 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -34,25 +35,25 @@
         1 => 40_000..230_000_u64,
     ];
     prop_oneof![
-        6 => (0..5_u8, prompt).prop_map(|(account, prompt)| Step::Ask { account, prompt }),
+        6 => (0..5_u8, prompt).prop_map(|(account, prompt)| Step::Request { account, prompt }),
         4 => (0..64_usize).prop_map(|which| Step::End { which }),
         1 => (0..64_usize).prop_map(|which| Step::Abandon { which }),
         1 => (0..64_usize).prop_map(|which| Step::Withdraw { which }),
-        2 => (1..400_u64).prop_map(|millis| Step::Pass { millis }),
+        2 => (1..400_u64).prop_map(|millis| Step::Advance { millis }),
     ]
 }
 
-/// The home with engines that do what they are told.
+/// A home with model engines that execute every command.
 struct TestHome {
     home: HomeScheduler,
     now: MonotonicTime,
     engines: Vec<EndpointId>,
-    /// What each engine holds, by the oracle's own count.
+    /// Memory held on each engine, as counted by the model.
     held: BTreeMap<EndpointId, BTreeMap<AttemptId, u64>>,
     waiting: BTreeSet<AttemptId>,
     running: Vec<AttemptId>,
     answered: BTreeSet<AttemptId>,
-    next: u64,
+    next_attempt: u64,
 }
 
 impl TestHome {
@@ -65,7 +66,7 @@
             waiting: BTreeSet::new(),
             running: Vec::new(),
             answered: BTreeSet::new(),
-            next: 0,
+            next_attempt: 0,
         };
         for endpoint in test.engines.clone() {
             let announcement = EndpointAnnouncement {
@@ -77,20 +78,20 @@
                 other_home_ms: None,
                 kind: EndpointKind::Engine {
                     models: vec!["m".parse().expect("a name")],
-                    memory: TokenCount(MEMORY),
+                    memory: TokenCount(ENGINE_MEMORY_TOKENS),
                     prefill_rate: TokenRate(20_000),
                 },
             };
             test.home.announce(test.now, &announcement, PoolRole::General);
             test.held.insert(endpoint, BTreeMap::new());
         }
-        test.carry_out();
+        test.execute_commands();
         test
     }
 
-    fn ask(&mut self, account: u8, prompt: u64) -> AttemptId {
-        self.next += 1;
-        let attempt: AttemptId = format!("a-{}", self.next).parse().expect("a valid id");
+    fn request(&mut self, account: u8, prompt: u64) -> AttemptId {
+        self.next_attempt += 1;
+        let attempt: AttemptId = format!("a-{}", self.next_attempt).parse().expect("a valid id");
         self.waiting.insert(attempt.clone());
         self.home.request_grant(
             self.now,
@@ -107,37 +108,43 @@
                 exclude: Vec::new(),
             },
         );
-        self.carry_out();
+        self.execute_commands();
         attempt
     }
 
-    fn carry_out(&mut self) {
+    fn execute_commands(&mut self) {
         loop {
             let commands = self.home.take_commands();
             if commands.is_empty() {
                 return;
             }
             for command in commands {
-                self.carry_out_one(command);
+                self.execute(command);
             }
         }
     }
 
-    fn carry_out_one(&mut self, command: HomeCommand) {
+    fn execute(&mut self, command: HomeCommand) {
         match command {
             HomeCommand::Grant(grant) => {
-                assert!(self.waiting.remove(&grant.attempt), "a grant that nobody waits for");
+                assert!(
+                    self.waiting.remove(&grant.attempt),
+                    "a grant for a request that does not wait"
+                );
                 assert!(self.answered.insert(grant.attempt.clone()), "answered twice");
                 for member in &grant.members {
                     let held = self.held.get_mut(&member.endpoint).expect("a known engine");
                     held.insert(grant.attempt.clone(), member.reserved.0);
                     let sum: u64 = held.values().sum();
-                    assert!(sum <= MEMORY, "{} holds {sum}", member.endpoint);
+                    assert!(sum <= ENGINE_MEMORY_TOKENS, "{} holds {sum} tokens", member.endpoint);
                 }
                 self.running.push(grant.attempt);
             }
             HomeCommand::Refuse { attempt, .. } => {
-                assert!(self.waiting.remove(&attempt), "a refusal that nobody waits for");
+                assert!(
+                    self.waiting.remove(&attempt),
+                    "a refusal for a request that does not wait"
+                );
                 assert!(self.answered.insert(attempt), "answered twice");
             }
             HomeCommand::Cancel { endpoint, attempt, .. } => {
@@ -163,16 +170,16 @@
         }
         let attempt = self.running.swap_remove(which % self.running.len());
         if matches!(reason, ReleaseReason::Ended { .. }) {
-            // The leading engine is done with it by itself; the home cancels the other parts.
+            // The leading engine has ended the attempt itself; the home cancels the other parts.
             for held in self.held.values_mut() {
                 held.remove(&attempt);
             }
         }
         self.home.release(self.now, &attempt, reason);
-        self.carry_out();
+        self.execute_commands();
     }
 
-    fn pass(&mut self, millis: u64) {
+    fn advance(&mut self, millis: u64) {
         self.now = self.now + Duration::from_millis(millis);
         for endpoint in &self.engines {
             let heartbeat = EndpointHeartbeat {
@@ -186,15 +193,15 @@
         }
         let running = self.running.clone();
         let unknown = self.home.renew(self.now, &"entry".parse().expect("a name"), &running);
-        assert!(unknown.is_empty(), "the home forgot {unknown:?}");
+        assert!(unknown.is_empty(), "the home does not know the grants {unknown:?}");
         self.home.tick(self.now);
-        self.carry_out();
+        self.execute_commands();
     }
 
     fn step(&mut self, step: &Step) {
         match *step {
-            Step::Ask { account, prompt } => {
-                self.ask(account, prompt);
+            Step::Request { account, prompt } => {
+                self.request(account, prompt);
             }
             Step::End { which } => {
                 self.release(which, ReleaseReason::Ended { tokens: TokenCount(100) });
@@ -206,10 +213,10 @@
                     self.waiting.remove(&attempt);
                     self.answered.insert(attempt.clone());
                     self.home.release(self.now, &attempt, ReleaseReason::NeverSent);
-                    self.carry_out();
+                    self.execute_commands();
                 }
             }
-            Step::Pass { millis } => self.pass(millis),
+            Step::Advance { millis } => self.advance(millis),
         }
     }
 }
@@ -222,19 +229,21 @@
         ..ProptestConfig::default()
     })]
 
+    // Guards against memory that is granted twice, and against memory, grants or requests that
+    // remain after all work has ended.
     #[test]
-    fn memory_is_granted_once_and_comes_back(steps in prop::collection::vec(step(), 1..200)) {
+    fn memory_is_granted_once_and_freed_at_the_end(steps in prop::collection::vec(step(), 1..200)) {
         let mut test = TestHome::new(4);
         steps.iter().for_each(|step| test.step(step));
-        // Everything that runs ends, and everything that waits gets its turn.
+        // All running prompts end, and all waiting requests are eventually granted.
         let mut rounds = 0;
         while !(test.running.is_empty() && test.waiting.is_empty()) {
             rounds += 1;
-            prop_assert!(rounds < 10_000, "{} never got their turn", test.waiting.len());
+            prop_assert!(rounds < 10_000, "{} requests were never granted", test.waiting.len());
             test.release(0, ReleaseReason::Ended { tokens: TokenCount(100) });
-            test.pass(100);
+            test.advance(100);
         }
-        (0..100).for_each(|_| test.pass(100));
+        (0..100).for_each(|_| test.advance(100));
         for view in test.home.endpoint_views() {
             prop_assert_eq!(view.held, TokenCount::ZERO);
             prop_assert_eq!(view.unexplained, TokenCount::ZERO);
@@ -244,69 +253,79 @@
     }
 }
 
+// Guards against a prompt that needs a group of engines and never finds room, because small
+// prompts take all memory that becomes free.
 #[test]
 fn a_group_is_not_starved_by_a_stream_of_small_prompts() {
     let mut test = TestHome::new(4);
-    // The engines are full of prompts that leave no room for three parts.
+    // The engines are full, so that the three parts of the large prompt do not fit.
     for number in 0..200 {
-        test.ask(number % 5, 30_000);
+        test.request(number % 5, 30_000);
     }
-    let large = test.ask(9, 200_000);
+    let large = test.request(9, 200_000);
     let mut rounds = 0;
     while test.waiting.contains(&large) {
         rounds += 1;
         assert!(rounds < 400, "starved for {rounds} rounds");
-        // One ends, another one comes: the queue never gets shorter.
+        // A new request follows each end, so that the queue never becomes shorter.
         test.release(rounds, ReleaseReason::Ended { tokens: TokenCount(100) });
-        test.ask(u8::try_from(rounds % 5).expect("below 5"), 30_000);
-        test.pass(50);
+        test.request(u8::try_from(rounds % 5).expect("below 5"), 30_000);
+        test.advance(50);
     }
 }
 
+// Guards against an order by arrival, in which one account's flood of requests delays all others.
 #[test]
-fn a_small_account_is_served_beside_a_flood() {
+fn an_account_with_one_request_is_served_beside_a_flood_of_another() {
     let mut test = TestHome::new(2);
     for _ in 0..300 {
-        test.ask(0, 3_900);
+        test.request(0, 3_900);
     }
-    let small = test.ask(1, 3_900);
+    let small = test.request(1, 3_900);
     let mut ends = 0;
     while test.waiting.contains(&small) {
         ends += 1;
-        assert!(ends < 10, "the small account waited for {ends} others");
+        assert!(ends < 10, "the account with one request waited for {ends} other requests");
         test.release(0, ReleaseReason::Ended { tokens: TokenCount(100) });
     }
 }
 
+// Guards against a home that resumes after a suspension of its process and grants memory that
+// another home may have granted meanwhile.
 #[test]
-fn a_home_that_was_frozen_grants_nothing_on_old_heartbeats() {
+fn a_suspended_home_grants_nothing_on_old_heartbeats() {
     let mut test = TestHome::new(1);
-    test.pass(10);
-    // The home stands still while the endpoint finds another one.
+    test.advance(10);
+    // The home is suspended while the endpoint moves to another home.
     test.now = test.now + Duration::from_secs(3);
-    test.ask(0, 100);
-    assert!(test.running.is_empty(), "a frozen home granted memory that is not its own any more");
+    test.request(0, 100);
+    assert!(
+        test.running.is_empty(),
+        "a suspended home granted memory that another home may have granted"
+    );
 }
 
+// Guards against memory that is granted again while an engine may still hold it for an attempt
+// whose connection broke.
 #[test]
 fn abandoned_memory_counts_as_held_until_the_engine_confirms() {
     let mut test = TestHome::new(1);
-    test.ask(0, MEMORY * 7 / 10);
-    let attempt = test.running.pop().expect("an empty engine takes it");
-    // The connection broke: the engine may still hold everything.
+    test.request(0, ENGINE_MEMORY_TOKENS * 7 / 10);
+    let attempt = test.running.pop().expect("an empty engine accepts the prompt");
+    // The connection broke, so the engine may still hold the memory.
     test.home.release(test.now, &attempt, ReleaseReason::Abandoned);
     let commands = test.home.take_commands();
     assert!(matches!(commands.as_slice(), [HomeCommand::Cancel { .. }]), "{commands:?}");
-    let next = test.ask(0, MEMORY * 7 / 10);
+    let next = test.request(0, ENGINE_MEMORY_TOKENS * 7 / 10);
     assert!(test.waiting.contains(&next), "memory was granted that the engine may still hold");
-    // A list asked for before the cancellation proves nothing; one asked for after it does.
+    // A list requested before the cancellation proves nothing; a list requested after it does.
     let endpoint = test.engines[0].clone();
     let earlier = test.now - Duration::from_millis(1);
     test.home.held_streams(test.now, earlier, &endpoint, &[]);
     test.held.get_mut(&endpoint).expect("known").clear();
-    test.carry_out();
+    test.execute_commands();
     assert!(test.waiting.contains(&next), "an old list freed memory");
     test.home.held_streams(test.now, test.now, &endpoint, &[]);
-    test.carry_out();
-    assert!(!test.waiting.contains(&next), "confirmed memory was not given out");
+    test.execute_commands();
+    assert!(!test.waiting.contains(&next), "memory confirmed as free was not granted");
 }
