--- a/crates/daemon/src/home/duty.rs
+++ b/crates/daemon/src/home/duty.rs
@@ -76,7 +76,7 @@
             HomeInput::Tick => self.tick(shared, now),
             HomeInput::Ask(ask, reply) => {
                 self.replies.insert(ask.attempt.clone(), reply);
-                self.scheduler.ask(now, *ask);
+                self.scheduler.request_grant(now, *ask);
             }
             HomeInput::Started(attempt) => self.scheduler.started(now, &attempt),
             HomeInput::Renew(entry, attempts, reply) => {
@@ -101,7 +101,7 @@
                 let _ = reply.send(known);
             }
             HomeInput::LetGo(endpoint, reply) => {
-                let _ = reply.send(self.scheduler.let_go(&endpoint));
+                let _ = reply.send(self.scheduler.remove_endpoint(&endpoint));
             }
             HomeInput::Held { asked, endpoint, streams } => {
                 self.scheduler.held_streams(now, asked, &endpoint, &streams);
