--- a/crates/daemon/src/entry/driver.rs
+++ b/crates/daemon/src/entry/driver.rs
@@ -8,7 +8,7 @@
 use futures::future::BoxFuture;
 use oriolepass_config::{ClaimAnswer, KeptAnswer, SettleCommand};
 use oriolepass_request::{
-    AttemptRefusal, RequestCommand, RequestLife, RequestOutcome, RequestPlan, SendFailure,
+    AttemptRefusal, RequestCommand, RequestLifecycle, RequestOutcome, RequestPlan, SendFailure,
 };
 use oriolepass_scheduler::{
     GrantAsk, LengthClass, PromptGrant, ReleaseReason, WorkTarget, prefix_hashes,
@@ -120,7 +120,7 @@
 struct RequestDriver {
     shared: Arc<DaemonShared>,
     request: Arc<EntryRequest>,
-    life: RequestLife,
+    life: RequestLifecycle,
     events: mpsc::Sender<CallerEvent>,
     pending: Option<BoxFuture<'static, DriverEvent>>,
     lines: Option<LineStream>,
@@ -137,7 +137,7 @@
         events: mpsc::Sender<CallerEvent>,
     ) -> Self {
         let plan = RequestPlan { repeatable: request.claim.is_none(), deadline: request.deadline };
-        let life = RequestLife::new(plan, shared.fresh_attempt());
+        let life = RequestLifecycle::new(plan, shared.fresh_attempt());
         Self {
             claim_nonce: shared.fresh_attempt(),
             shared,
--- a/crates/request/src/lib.rs
+++ b/crates/request/src/lib.rs
@@ -1,6 +1,6 @@
 //! The life of one request.
 //!
-//! [`RequestLife`] is a sans-IO state machine: events in, [`RequestCommand`]s out. It decides
+//! [`RequestLifecycle`] is a sans-IO state machine: events in, [`RequestCommand`]s out. It decides
 //! everything that the promises to callers hang on:
 //!
 //! * it ends exactly once, whatever happens and in whatever order; every state has a way out by
@@ -15,9 +15,9 @@
 //! The driver in the daemon does the input and output, one task for each request.
 
 mod budget;
-mod life;
+mod lifecycle;
 mod outcome;
 
 pub use budget::RetryBudget;
-pub use life::{AttemptRefusal, RequestCommand, RequestLife, RequestPlan, SendFailure};
+pub use lifecycle::{AttemptRefusal, RequestCommand, RequestLifecycle, RequestPlan, SendFailure};
 pub use outcome::RequestOutcome;
--- a/crates/request/src/life.rs
+++ b/crates/request/src/lifecycle.rs
@@ -103,7 +103,7 @@
 
 /// One request.
 #[derive(Debug)]
-pub struct RequestLife {
+pub struct RequestLifecycle {
     plan: RequestPlan,
     state: LifeState,
     attempts: u32,
@@ -122,7 +122,7 @@
     strays: u64,
 }
 
-impl RequestLife {
+impl RequestLifecycle {
     /// Creates an admitted request; `attempt` names its first attempt.
     pub fn new(plan: RequestPlan, attempt: AttemptId) -> Self {
         let mut life = Self {
--- a/crates/request/tests/world/deliver.rs
+++ b/crates/request/tests/world/deliver.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use oriolepass_config::KeptAnswer;
-use oriolepass_request::{AttemptRefusal, RequestLife, SendFailure};
+use oriolepass_request::{AttemptRefusal, RequestLifecycle, SendFailure};
 use oriolepass_scheduler::{GrantRefusal, HomeCommand, ReleaseReason};
 use oriolepass_schema::endpoint::{AttemptCall, StreamLine};
 use oriolepass_schema::operator::PoolRole;
@@ -138,7 +138,7 @@
             Event::Deadline { request } => {
                 let open = self.requests[request].outcome.is_none();
                 coverage.deadlines += u64::from(open && !self.requests[request].gone);
-                self.with_life(request, coverage, RequestLife::deadline_passed);
+                self.with_life(request, coverage, RequestLifecycle::deadline_passed);
             }
         }
     }
@@ -148,7 +148,7 @@
         &mut self,
         number: usize,
         coverage: &mut Coverage,
-        tell: impl FnOnce(&mut RequestLife),
+        tell: impl FnOnce(&mut RequestLifecycle),
     ) {
         if self.requests[number].gone {
             return;
--- a/crates/request/tests/world/requests.rs
+++ b/crates/request/tests/world/requests.rs
@@ -7,7 +7,7 @@
     ApplyOutcome, ClaimCommand, MemberAddresses, MemberCommand, MemberRecord, ReplicatedCommand,
     SettleCommand, StampedCommand,
 };
-use oriolepass_request::{RequestCommand, RequestLife, RequestOutcome, RequestPlan};
+use oriolepass_request::{RequestCommand, RequestLifecycle, RequestOutcome, RequestPlan};
 use oriolepass_scheduler::{GrantAsk, GrantedEndpoint, PromptGrant, WorkTarget};
 use oriolepass_schema::caller::{PromptBody, RequestPriority};
 use oriolepass_schema::endpoint::{AttemptCall, PartCall};
@@ -20,7 +20,7 @@
 use super::{Coverage, ENTRIES, Event, World};
 
 pub struct TestRequest {
-    pub life: RequestLife,
+    pub life: RequestLifecycle,
     pub entry: usize,
     pub epoch: u64,
     pub prompt: Option<PromptBody>,
@@ -134,7 +134,7 @@
         let plan = RequestPlan { repeatable: key.is_none(), deadline };
         let first = self.fresh_attempt();
         let request = TestRequest {
-            life: RequestLife::new(plan, first),
+            life: RequestLifecycle::new(plan, first),
             entry,
             epoch: self.entry_epochs[entry],
             tokens: prompt.as_ref().map_or(1, |prompt| prompt.tokens().0),
