--- a/crates/daemon/src/entry/driver.rs
+++ b/crates/daemon/src/entry/driver.rs
@@ -230,7 +230,7 @@
 
     fn broke(&mut self, failure: SendFailure) {
         let shared = &self.shared;
-        self.life.broke(failure, || shared.may_retry(), || shared.fresh_attempt());
+        self.life.send_failed(failure, || shared.may_retry(), || shared.fresh_attempt());
     }
 
     fn on_line(&mut self, line: Option<StreamLine>) {
--- a/crates/request/src/lifecycle.rs
+++ b/crates/request/src/lifecycle.rs
@@ -418,7 +418,7 @@
     }
 
     /// Notes that sending failed or that the stream broke off before its end.
-    pub fn broke(
+    pub fn send_failed(
         &mut self,
         failure: SendFailure,
         retry: impl FnOnce() -> bool,
--- a/crates/request/tests/world/deliver.rs
+++ b/crates/request/tests/world/deliver.rs
@@ -286,7 +286,7 @@
         }
         let next = self.fresh_attempt();
         let allowed = self.budget.spend();
-        self.with_life(request, coverage, |life| life.broke(failure, || allowed, || next));
+        self.with_life(request, coverage, |life| life.send_failed(failure, || allowed, || next));
     }
 
     /// Carries out what a home wants done.
