--- a/crates/daemon/src/entry/driver.rs
+++ b/crates/daemon/src/entry/driver.rs
@@ -256,7 +256,7 @@
                 self.pending = Some(self.send(grant, resume_from, resume_text));
             }
             RequestCommand::Deliver(text) => self.deliver(text, deadline).await,
-            RequestCommand::NoteStarted(attempt) => {
+            RequestCommand::ReportStarted(attempt) => {
                 if let Some(home) = self.home.clone() {
                     outcomes::note_started(&self.shared, home, attempt);
                 }
--- a/crates/request/src/lifecycle.rs
+++ b/crates/request/src/lifecycle.rs
@@ -82,7 +82,7 @@
     /// Pass a piece of the answer on to the caller.
     Deliver(String),
     /// Tell the home that the first token has come.
-    NoteStarted(AttemptId),
+    ReportStarted(AttemptId),
     /// Give a grant, or the wait for one, back.
     Release(AttemptId, ReleaseReason),
     /// Cancel the attempt on its endpoints.
@@ -345,7 +345,7 @@
                     return;
                 }
                 if !std::mem::replace(seen_token, true) {
-                    self.commands.push(RequestCommand::NoteStarted(grant.attempt.clone()));
+                    self.commands.push(RequestCommand::ReportStarted(grant.attempt.clone()));
                 }
                 self.maybe_ran = true;
                 self.delivered += 1;
--- a/crates/request/tests/world/requests.rs
+++ b/crates/request/tests/world/requests.rs
@@ -200,7 +200,7 @@
                 self.send(number, &grant, resume_from, resume_text, coverage);
             }
             RequestCommand::Deliver(text) => self.requests[number].delivered.push_str(&text),
-            RequestCommand::NoteStarted(attempt) => {
+            RequestCommand::ReportStarted(attempt) => {
                 let home = self.requests[number].home.unwrap_or(self.home);
                 self.post(Event::Started { home, attempt }, coverage);
             }
