--- a/crates/daemon/src/entry/homes.rs
+++ b/crates/daemon/src/entry/homes.rs
@@ -21,7 +21,7 @@
     let homes = rank_homes(&ask, shared.data_centre(), digests.iter().map(AsRef::as_ref));
     let mut refusal = match digests.is_empty() {
         // No home has been heard of yet, so this daemon cannot tell.
-        true => AttemptRefusal::HomeLost,
+        true => AttemptRefusal::HomeUnreachable,
         false => AttemptRefusal::NoHome,
     };
     for home in homes.into_iter().take(MAX_HOMES_ASKED) {
@@ -44,7 +44,7 @@
     let question = PeerQuestion::Grant(ask.clone());
     match shared.peers.ask_instance(home, &question, ask.patience).await {
         Ok(PeerAnswer::Granted(answer)) => answer.map_err(AttemptRefusal::Home),
-        _ => Err(AttemptRefusal::HomeLost),
+        _ => Err(AttemptRefusal::HomeUnreachable),
     }
 }
 
@@ -55,7 +55,7 @@
         AttemptRefusal::Home(GrantRefusal::NotServed) => 1,
         AttemptRefusal::Home(GrantRefusal::TooBig { .. }) => 2,
         AttemptRefusal::Home(GrantRefusal::AllExcluded) => 3,
-        AttemptRefusal::HomeLost => 4,
+        AttemptRefusal::HomeUnreachable => 4,
         AttemptRefusal::Home(GrantRefusal::NotHome) => 5,
         AttemptRefusal::Home(GrantRefusal::AccountBusy { .. }) => 6,
         AttemptRefusal::Home(GrantRefusal::Busy { .. }) => 7,
--- a/crates/request/src/lifecycle.rs
+++ b/crates/request/src/lifecycle.rs
@@ -41,7 +41,7 @@
     /// No home serves the target.
     NoHome,
     /// The home could not be reached.
-    HomeLost,
+    HomeUnreachable,
 }
 
 /// How sending failed.
@@ -275,7 +275,7 @@
             return;
         }
         let outcome = match refusal {
-            AttemptRefusal::Home(GrantRefusal::NotHome) | AttemptRefusal::HomeLost => {
+            AttemptRefusal::Home(GrantRefusal::NotHome) | AttemptRefusal::HomeUnreachable => {
                 // The ask may still wait at a home that was too slow to answer.
                 let release = ReleaseReason::NeverSent;
                 self.commands.push(RequestCommand::Release(attempt.clone(), release));
--- a/crates/request/tests/world/deliver.rs
+++ b/crates/request/tests/world/deliver.rs
@@ -78,7 +78,7 @@
             }
             Event::HomeLost { request, attempt } => {
                 let next = self.fresh_attempt();
-                let lost = AttemptRefusal::HomeLost;
+                let lost = AttemptRefusal::HomeUnreachable;
                 self.with_life(request, coverage, |life| life.refused(&attempt, &lost, || next));
             }
             Event::Claimed { request, answer } => {
