--- a/crates/daemon/src/entry/client.rs
+++ b/crates/daemon/src/entry/client.rs
@@ -99,7 +99,7 @@
         let request = json_request(Method::POST, address, "/v1/parts", body);
         let response = self.pooled.request(request).await.map_err(|error| send_failure(&error))?;
         // A part only holds memory, so a refused one has run nothing.
-        if response.status().is_success() { Ok(()) } else { Err(SendFailure::RefusedUnrun) }
+        if response.status().is_success() { Ok(()) } else { Err(SendFailure::RefusedNotRun) }
     }
 
     /// Cancels an attempt; whether it was there is not told.
@@ -144,7 +144,7 @@
             .header("content-type", &call.content_type)
             .header(ATTEMPT_HEADER, attempt.as_str())
             .body(Full::new(call.body.clone()))
-            .map_err(|_| SendFailure::RefusedUnrun)?;
+            .map_err(|_| SendFailure::RefusedNotRun)?;
         let client = if call.repeatable { &self.pooled } else { &self.single };
         let response = client.request(request).await.map_err(|error| send_failure(&error))?;
         read_service_answer(response).await
@@ -158,7 +158,7 @@
     let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
     let echoed = text(ATTEMPT_HEADER).and_then(|value| value.parse().ok());
     if text(NOT_RUN_HEADER).is_some() {
-        return Err(SendFailure::RefusedUnrun);
+        return Err(SendFailure::RefusedNotRun);
     }
     let echoed = echoed.ok_or(SendFailure::Broken)?;
     let content_type = text("content-type").unwrap_or("application/octet-stream").to_owned();
--- a/crates/daemon/src/entry/sending.rs
+++ b/crates/daemon/src/entry/sending.rs
@@ -63,7 +63,7 @@
     resume_from: u64,
     resume_text: String,
 ) -> Result<LineStream, SendFailure> {
-    let WorkTarget::Model(model) = &request.target else { return Err(SendFailure::RefusedUnrun) };
+    let WorkTarget::Model(model) = &request.target else { return Err(SendFailure::RefusedNotRun) };
     let (lead, parts) = grant.members.split_first().expect("a grant has a member");
     let holds = parts.iter().map(|part| {
         let call = PartCall { attempt: grant.attempt.clone(), reserved: part.reserved };
--- a/crates/request/src/lifecycle.rs
+++ b/crates/request/src/lifecycle.rs
@@ -50,7 +50,7 @@
     /// No connection came about, so not one byte left.
     NotConnected,
     /// The endpoint said that it refused the call without acting on it.
-    RefusedUnrun,
+    RefusedNotRun,
     /// An engine refused its part of a group, so the leading one was sent nothing; the other
     /// parts may hold memory.
     PartRefused,
@@ -427,7 +427,7 @@
         let LifeState::Running { grant, .. } = &self.state else { return };
         self.exclude.extend(grant.members.iter().map(|m| m.endpoint.clone()));
         match failure {
-            SendFailure::NotConnected | SendFailure::RefusedUnrun => {
+            SendFailure::NotConnected | SendFailure::RefusedNotRun => {
                 self.give_back(ReleaseReason::NeverSent);
                 self.retry_unrun(retry, next);
             }
