--- a/crates/request/src/budget.rs
+++ b/crates/request/src/budget.rs
@@ -1,37 +1,39 @@
-//! A budget for retries, so that a failing data centre cannot double the load.
+//! Limits retries to a share of the first attempts, so that a failing data centre cannot double
+//! the load.
 
-/// Retries allowed for each hundred first attempts.
+/// Retries allowed per 100 first attempts. Each first attempt credits this many hundredths of a
+/// retry.
 const RETRY_PERCENT: u64 = 20;
 
-/// Hundredths of a retry that one first attempt earns, and that one retry costs.
+/// Cost of one retry, in hundredths of a retry, the unit of the balance.
 const RETRY_COST: u64 = 100;
 
-/// The most retries saved up: a burst of this many may fail at once and be tried again.
-const MAX_SAVED: u64 = 50 * RETRY_COST;
+/// Largest balance. A burst of 50 simultaneous failures can be retried.
+const MAX_BALANCE: u64 = 50 * RETRY_COST;
 
-/// Retries saved up by first attempts.
+/// Token bucket for retries that is filled by first attempts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RetryBudget {
-    saved: u64,
+    balance: u64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { saved: MAX_SAVED }
+        Self { balance: MAX_BALANCE }
     }
 }
 
 impl RetryBudget {
-    /// Notes a first attempt.
+    /// Credits the budget for a first attempt.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + RETRY_PERCENT).min(MAX_SAVED);
+        self.balance = (self.balance + RETRY_PERCENT).min(MAX_BALANCE);
     }
 
-    /// Spends one retry; returns false where none is left.
+    /// Spends one retry. Returns false if the balance is too low.
     pub fn spend(&mut self) -> bool {
-        match self.saved.checked_sub(RETRY_COST) {
-            Some(left) => {
-                self.saved = left;
+        match self.balance.checked_sub(RETRY_COST) {
+            Some(rest) => {
+                self.balance = rest;
                 true
             }
             None => false,
--- a/crates/request/src/lib.rs
+++ b/crates/request/src/lib.rs
@@ -1,18 +1,23 @@
-//! The life of one request.
+//! The lifecycle of one request as a sans-IO state machine.
 //!
-//! [`RequestLifecycle`] is a sans-IO state machine: events in, [`RequestCommand`]s out. It decides
-//! everything that the promises to callers hang on:
+//! [`RequestLifecycle`] takes events and emits [`RequestCommand`]s. It enforces the guarantees to
+//! callers:
 //!
-//! * it ends exactly once, whatever happens and in whatever order; every state has a way out by
-//!   the request's deadline;
-//! * `ran: no` is said only where no byte can have reached an endpoint, or the endpoint said so;
-//! * a non-repeatable request is sent at most once, after its claim is committed, and its claim
-//!   is settled however it ends;
-//! * only pieces that carry the present attempt's id and the next index reach the caller, and
-//!   an answer is whole only if its explicit end matches the tokens and the digest counted here;
-//! * every grant that was asked for is given back.
+//! * a request ends exactly once, whatever the events and their order; every state is left by the
+//!   request's deadline;
+//! * `ran: no` is reported only if no byte can have reached an endpoint, or if the endpoint
+//!   reported that the request did not run;
+//! * a non-repeatable request is sent at most once, after its claim is committed, and the
+//!   claim is settled whatever the outcome;
+//! * only pieces with the current attempt's id and the next index reach the caller, and an answer
+//!   is complete only if its end line matches the token count and the digest computed here;
+//! * every requested grant is released.
 //!
-//! The driver in the daemon does the input and output, one task for each request.
+//! A home is the instance that schedules the work of a model or service. A grant is its permission
+//! to use endpoints for one attempt. A claim is the replicated record of a non-repeatable request's
+//! caller key.
+//!
+//! The driver in the daemon performs the input and output, with one task per request.
 
 mod budget;
 mod lifecycle;
--- a/crates/request/src/lifecycle.rs
+++ b/crates/request/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The state machine.
+//! The state machine of a request, [`RequestLifecycle`].
 
 use std::time::Duration;
 
@@ -12,31 +12,33 @@
 
 use crate::outcome::RequestOutcome;
 
-/// How often a request is tried on endpoints at most.
+/// Maximum number of times that a request is sent to endpoints.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// How often a home may answer that it is not the home before the request gives up.
-const MAX_MOVED_HOMES: u32 = 20;
+/// Number of grant requests that may fail before the request fails. A grant request fails if the
+/// home has moved or cannot be reached, or if every endpoint is excluded.
+const MAX_GRANT_FAILURES: u32 = 20;
 
-/// The pause after a first failure; it doubles with each further one.
-const FIRST_BACKOFF: Duration = Duration::from_millis(20);
+/// Delay after the first failure. It doubles with each further attempt, and grows linearly while
+/// the home cannot be reached.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 
-/// When a caller should come back after the system lost its way.
-const SHORT_WAIT: Duration = Duration::from_millis(500);
+/// Retry delay given to callers after failures within the system, such as an unreachable home.
+const SHORT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// What a request is and may do.
+/// Properties of a request that bound its execution.
 #[derive(Debug, Clone)]
 pub struct RequestPlan {
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// When it must have ended.
+    /// Time by which the request must have ended.
     pub deadline: MonotonicTime,
 }
 
-/// Why an attempt got no grant.
+/// Reason why an attempt got no grant.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AttemptRefusal {
-    /// The home refused.
+    /// The home refused the grant.
     Home(GrantRefusal),
     /// No home serves the target.
     NoHome,
@@ -44,94 +46,94 @@
     HomeUnreachable,
 }
 
-/// How sending failed.
+/// How sending an attempt failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendFailure {
-    /// No connection came about, so not one byte left.
+    /// No connection was established, so no byte was sent.
     NotConnected,
-    /// The endpoint said that it refused the call without acting on it.
+    /// The endpoint refused the call and reported that it did not act on the call.
     RefusedNotRun,
-    /// An engine refused its part of a group, so the leading one was sent nothing; the other
+    /// An engine refused its part of a group, so nothing was sent to the leading engine. The other
     /// parts may hold memory.
     PartRefused,
     /// The connection broke after something may have been sent.
     Broken,
 }
 
-/// What the driver has to do.
+/// Command for the driver.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestCommand {
     /// Claim the request.
     Claim,
-    /// Ask a home for a grant, after a pause.
+    /// Ask a home for a grant, after a delay.
     AskGrant {
-        /// The pause.
+        /// The delay.
         after: Duration,
-        /// Endpoints that failed already.
+        /// Endpoints that have failed this request.
         exclude: Vec<EndpointId>,
     },
     /// Send the request to the granted endpoints.
     Send {
         /// The grant.
         grant: PromptGrant,
-        /// Tokens that the caller already has.
+        /// Number of tokens already delivered to the caller.
         resume_from: u64,
-        /// Their text, from which another engine goes on.
+        /// Text of the delivered tokens, from which another engine resumes.
         resume_text: String,
     },
-    /// Pass a piece of the answer on to the caller.
+    /// Forward a piece of the answer to the caller.
     Deliver(String),
-    /// Tell the home that the first token has come.
+    /// Report to the home that the first token has arrived.
     ReportStarted(AttemptId),
-    /// Give a grant, or the wait for one, back.
+    /// Release a grant, or withdraw a pending grant request.
     Release(AttemptId, ReleaseReason),
     /// Cancel the attempt on its endpoints.
     Cancel(AttemptId, Vec<GrantedEndpoint>),
     /// Settle the claim.
     Settle(ClaimVerdict),
-    /// Tell the caller how it ended; always the last command.
+    /// Report the outcome to the caller. Always the last command.
     Finish(RequestOutcome),
 }
 
 #[derive(Debug)]
-enum LifeState {
+enum State {
     Claiming,
     Waiting { attempt: AttemptId },
     Running { grant: PromptGrant, seen_token: bool },
     Ended,
 }
 
-/// One request.
+/// State machine of one request.
 #[derive(Debug)]
 pub struct RequestLifecycle {
     plan: RequestPlan,
-    state: LifeState,
+    state: State,
     attempts: u32,
-    moved_homes: u32,
+    grant_failures: u32,
     exclude: Vec<EndpointId>,
     claimed: bool,
     /// Whether an endpoint may have acted on the request.
-    maybe_ran: bool,
+    may_have_run: bool,
     delivered: u64,
-    /// The text delivered so far, from which another endpoint may have to go on, or which is
-    /// kept for resends.
+    /// Text delivered so far. Another endpoint may have to resume from it, and it is stored as the
+    /// answer to later resends.
     delivered_text: String,
     digest: AnswerDigest,
     commands: Vec<RequestCommand>,
-    /// Pieces dropped because they were not the present attempt's next one.
+    /// Lines dropped because they were not the next line of the current attempt.
     strays: u64,
 }
 
 impl RequestLifecycle {
-    /// Creates an admitted request; `attempt` names its first attempt.
+    /// Creates the state machine of an admitted request. `attempt` is the id of its first attempt.
     pub fn new(plan: RequestPlan, attempt: AttemptId) -> Self {
-        let mut life = Self {
-            state: LifeState::Claiming,
+        let mut lifecycle = Self {
+            state: State::Claiming,
             attempts: 0,
-            moved_homes: 0,
+            grant_failures: 0,
             exclude: Vec::new(),
             claimed: false,
-            maybe_ran: false,
+            may_have_run: false,
             delivered: 0,
             delivered_text: String::new(),
             digest: AnswerDigest::default(),
@@ -139,63 +141,64 @@
             strays: 0,
             plan,
         };
-        if life.plan.repeatable {
-            life.ask(attempt, Duration::ZERO);
+        if lifecycle.plan.repeatable {
+            lifecycle.request_grant(attempt, Duration::ZERO);
         } else {
-            life.commands.push(RequestCommand::Claim);
+            lifecycle.commands.push(RequestCommand::Claim);
         }
-        life
+        lifecycle
     }
 
-    /// Returns what is to be done since the last call.
+    /// Returns the commands emitted since the last call.
     pub fn take_commands(&mut self) -> Vec<RequestCommand> {
         std::mem::take(&mut self.commands)
     }
 
-    /// Returns whether it has ended.
+    /// Returns whether the request has ended.
     pub fn ended(&self) -> bool {
-        matches!(self.state, LifeState::Ended)
+        matches!(self.state, State::Ended)
     }
 
-    /// Returns the attempt that waits or runs.
+    /// Returns the attempt that waits for a grant or runs.
     pub fn attempt(&self) -> Option<&AttemptId> {
         match &self.state {
-            LifeState::Waiting { attempt } => Some(attempt),
-            LifeState::Running { grant, .. } => Some(&grant.attempt),
-            LifeState::Claiming | LifeState::Ended => None,
+            State::Waiting { attempt } => Some(attempt),
+            State::Running { grant, .. } => Some(&grant.attempt),
+            State::Claiming | State::Ended => None,
         }
     }
 
-    /// Returns how often it was sent so far.
+    /// Returns the number of attempts sent so far.
     pub fn attempts(&self) -> u32 {
         self.attempts
     }
 
-    /// Returns how many pieces were dropped because they were not its own or not the next.
+    /// Returns the number of lines dropped because they belonged to another attempt or were not the
+    /// next line.
     pub fn strays(&self) -> u64 {
         self.strays
     }
 
-    /// Returns tokens passed on to the caller so far.
+    /// Returns the number of tokens delivered to the caller so far.
     pub fn delivered(&self) -> u64 {
         self.delivered
     }
 
-    fn ask(&mut self, attempt: AttemptId, after: Duration) {
-        self.state = LifeState::Waiting { attempt };
+    fn request_grant(&mut self, attempt: AttemptId, after: Duration) {
+        self.state = State::Waiting { attempt };
         self.commands.push(RequestCommand::AskGrant { after, exclude: self.exclude.clone() });
     }
 
-    /// Takes in the answer to its claim; `next` names the attempt that may follow.
+    /// Handles the answer to the claim. `next` supplies the id of an attempt that follows.
     pub fn claim_answered(&mut self, answer: ClaimAnswer, next: impl FnOnce() -> AttemptId) {
-        if !matches!(self.state, LifeState::Claiming) {
+        if !matches!(self.state, State::Claiming) {
             return;
         }
         let refuse = |code, detail: &str| RequestOutcome::failed(code, RanState::No, detail);
         let outcome = match answer {
             ClaimAnswer::Granted => {
                 self.claimed = true;
-                self.ask(next(), Duration::ZERO);
+                self.request_grant(next(), Duration::ZERO);
                 return;
             }
             ClaimAnswer::Done(kept) if kept.body.is_some() => RequestOutcome::Kept(kept),
@@ -217,26 +220,26 @@
             ClaimAnswer::OtherBody => {
                 refuse(ErrorCode::CallerKeyReused, "the caller key named another request")
             }
-            ClaimAnswer::Full => RequestOutcome::come_back(
+            ClaimAnswer::Full => RequestOutcome::retry_later(
                 ErrorCode::Overloaded,
                 "too many non-repeatable requests are remembered",
                 Duration::from_secs(60),
             ),
-            ClaimAnswer::StaleEntry | ClaimAnswer::NoClaim => RequestOutcome::come_back(
+            ClaimAnswer::StaleEntry | ClaimAnswer::NoClaim => RequestOutcome::retry_later(
                 ErrorCode::NotReady,
                 "this daemon is joining again",
-                SHORT_WAIT,
+                SHORT_RETRY_AFTER,
             ),
         };
         self.finish(outcome);
     }
 
-    /// Notes that the claim could not be made. It may have been committed all the same, so it
-    /// is settled as not run: nothing was sent.
+    /// Handles a claim whose commit was not confirmed. The claim may be committed, so it is
+    /// settled as not run, because nothing was sent.
     pub fn claim_failed(&mut self) {
-        if matches!(self.state, LifeState::Claiming) {
+        if matches!(self.state, State::Claiming) {
             self.claimed = true;
-            self.finish(RequestOutcome::come_back(
+            self.finish(RequestOutcome::retry_later(
                 ErrorCode::NoQuorum,
                 "the claim of this non-repeatable request could not be committed",
                 Duration::from_secs(2),
@@ -244,12 +247,11 @@
         }
     }
 
-    /// Takes in a grant.
+    /// Handles a grant.
     pub fn granted(&mut self, now: MonotonicTime, grant: PromptGrant) {
-        let waits =
-            matches!(&self.state, LifeState::Waiting { attempt } if *attempt == grant.attempt);
+        let waits = matches!(&self.state, State::Waiting { attempt } if *attempt == grant.attempt);
         if !waits {
-            // It came after the request had given up waiting.
+            // The grant arrived after the request stopped waiting for it.
             let release = RequestCommand::Release(grant.attempt, ReleaseReason::NeverSent);
             self.commands.push(release);
             return;
@@ -260,42 +262,46 @@
         }
         self.attempts += 1;
         let (resume_from, resume_text) = (self.delivered, self.delivered_text.clone());
-        self.state = LifeState::Running { grant: grant.clone(), seen_token: false };
+        self.state = State::Running { grant: grant.clone(), seen_token: false };
         self.commands.push(RequestCommand::Send { grant, resume_from, resume_text });
     }
 
-    /// Takes in a refusal of a grant; `next` names the attempt that may follow.
+    /// Handles a failed grant request. `next` supplies the id of an attempt that follows.
     pub fn refused(
         &mut self,
         attempt: &AttemptId,
         refusal: &AttemptRefusal,
         next: impl FnOnce() -> AttemptId,
     ) {
-        if !matches!(&self.state, LifeState::Waiting { attempt: own } if own == attempt) {
+        if !matches!(&self.state, State::Waiting { attempt: own } if own == attempt) {
             return;
         }
         let outcome = match refusal {
             AttemptRefusal::Home(GrantRefusal::NotHome) | AttemptRefusal::HomeUnreachable => {
-                // The ask may still wait at a home that was too slow to answer.
+                // The grant request may still be queued at a home that was too slow to answer.
                 let release = ReleaseReason::NeverSent;
                 self.commands.push(RequestCommand::Release(attempt.clone(), release));
-                self.moved_homes += 1;
-                if self.moved_homes < MAX_MOVED_HOMES {
-                    self.ask(next(), FIRST_BACKOFF * self.moved_homes);
+                self.grant_failures += 1;
+                if self.grant_failures < MAX_GRANT_FAILURES {
+                    self.request_grant(next(), INITIAL_BACKOFF * self.grant_failures);
                     return;
                 }
-                ("no home could be reached".to_owned(), ErrorCode::Overloaded, Some(SHORT_WAIT))
+                (
+                    "no home could be reached".to_owned(),
+                    ErrorCode::Overloaded,
+                    Some(SHORT_RETRY_AFTER),
+                )
             }
             AttemptRefusal::Home(GrantRefusal::AllExcluded) => {
-                // All there are have failed it, each perhaps for a reason that has passed.
+                // Every endpoint has failed this request, possibly for a transient reason.
                 self.exclude.clear();
-                self.moved_homes += 1;
-                if self.moved_homes < MAX_MOVED_HOMES {
-                    self.ask(next(), self.backoff());
+                self.grant_failures += 1;
+                if self.grant_failures < MAX_GRANT_FAILURES {
+                    self.request_grant(next(), self.backoff());
                     return;
                 }
                 let detail = "every endpoint that serves this has failed the request".to_owned();
-                (detail, ErrorCode::EndpointFailed, Some(SHORT_WAIT))
+                (detail, ErrorCode::EndpointFailed, Some(SHORT_RETRY_AFTER))
             }
             AttemptRefusal::NoHome | AttemptRefusal::Home(GrantRefusal::NotServed) => {
                 let detail = "no endpoint serves this at present".to_owned();
@@ -319,16 +325,16 @@
         self.fail(code, &detail, retry_after);
     }
 
-    /// Takes in a line of the endpoint's answer. `retry` says whether the budget allows another
-    /// attempt, which `next` names, should this one have failed. Neither is called for the many
-    /// lines that merely carry a token.
+    /// Handles a line of the endpoint's answer. If the attempt has failed, `retry` says whether the
+    /// budget allows another attempt and `next` supplies its id. Neither is called for lines that
+    /// carry a token, which are by far the most frequent.
     pub fn line(
         &mut self,
         line: StreamLine,
         retry: impl FnOnce() -> bool,
         next: impl FnOnce() -> AttemptId,
     ) {
-        let LifeState::Running { grant, seen_token } = &mut self.state else {
+        let State::Running { grant, seen_token } = &mut self.state else {
             self.strays += 1;
             return;
         };
@@ -338,8 +344,8 @@
         }
         match line {
             StreamLine::Token { index, text, .. } => {
-                // A doubled piece is dropped. One from further ahead means that a piece is
-                // missing; the gap shows at the end, whose token count will not match.
+                // A duplicate piece is dropped. A higher index means that a piece is missing; the
+                // gap is detected at the end line, whose token count does not match.
                 if index != self.delivered {
                     self.strays += 1;
                     return;
@@ -347,45 +353,44 @@
                 if !std::mem::replace(seen_token, true) {
                     self.commands.push(RequestCommand::ReportStarted(grant.attempt.clone()));
                 }
-                self.maybe_ran = true;
+                self.may_have_run = true;
                 self.delivered += 1;
                 self.digest.update(text.as_bytes());
                 self.delivered_text.push_str(&text);
                 self.commands.push(RequestCommand::Deliver(text));
             }
             StreamLine::End { tokens, digest, finish_reason, .. } => {
-                self.maybe_ran = true;
+                self.may_have_run = true;
                 if tokens == self.delivered && digest == self.digest.finish() {
-                    self.end_whole(tokens, digest, finish_reason);
+                    self.complete(tokens, digest, finish_reason);
                 } else {
-                    // Something was lost or is not ours. What was delivered cannot be taken
-                    // back, so the request fails rather than go on from doubtful text.
-                    self.give_back(ReleaseReason::Abandoned);
+                    // A piece was lost or belongs to another answer. Delivered text cannot be
+                    // withdrawn, so the request fails instead of resuming from corrupt text.
+                    self.release_grant(ReleaseReason::Abandoned);
                     self.fail(ErrorCode::EndpointFailed, "the answer did not match its end", None);
                 }
             }
             StreamLine::Failed { ran, message, .. } => {
-                self.maybe_ran |= ran;
+                self.may_have_run |= ran;
                 let detail = format!("the endpoint gave up: {message}");
-                self.give_back(ReleaseReason::Abandoned);
+                self.release_grant(ReleaseReason::Abandoned);
                 self.retry_or_fail(retry, next, &detail);
             }
         }
     }
 
-    /// Takes in a plain service's whole answer.
+    /// Handles the complete answer of a plain service.
     pub fn service_answered(&mut self, attempt: &AttemptId, answer: &KeptAnswer, body: &str) {
-        let own =
-            matches!(&self.state, LifeState::Running { grant, .. } if grant.attempt == *attempt);
+        let own = matches!(&self.state, State::Running { grant, .. } if grant.attempt == *attempt);
         if !own {
             self.strays += 1;
             return;
         }
-        self.maybe_ran = true;
+        self.may_have_run = true;
         self.digest.update(body.as_bytes());
         self.delivered += 1;
         self.commands.push(RequestCommand::Deliver(body.to_owned()));
-        self.give_back(ReleaseReason::Ended { tokens: TokenCount::ZERO });
+        self.release_grant(ReleaseReason::Ended { tokens: TokenCount::ZERO });
         let digest = self.digest.finish();
         self.settle(ClaimVerdict::Done(answer.clone()));
         self.finish(RequestOutcome::Done {
@@ -396,7 +401,7 @@
         });
     }
 
-    fn end_whole(&mut self, tokens: u64, digest: String, finish_reason: String) {
+    fn complete(&mut self, tokens: u64, digest: String, finish_reason: String) {
         if self.claimed {
             let completion = KeptCompletion {
                 text: std::mem::take(&mut self.delivered_text),
@@ -408,7 +413,7 @@
             let kept = KeptAnswer::new(200, "application/json".to_owned(), body.as_bytes());
             self.settle(ClaimVerdict::Done(kept));
         }
-        self.give_back(ReleaseReason::Ended { tokens: TokenCount(tokens) });
+        self.release_grant(ReleaseReason::Ended { tokens: TokenCount(tokens) });
         self.finish(RequestOutcome::Done {
             tokens,
             digest,
@@ -417,38 +422,43 @@
         });
     }
 
-    /// Notes that sending failed or that the stream broke off before its end.
+    /// Handles a failed send, or a stream that broke before its end line. `retry` and `next` are as
+    /// for [`Self::line`].
     pub fn send_failed(
         &mut self,
         failure: SendFailure,
         retry: impl FnOnce() -> bool,
         next: impl FnOnce() -> AttemptId,
     ) {
-        let LifeState::Running { grant, .. } = &self.state else { return };
+        let State::Running { grant, .. } = &self.state else { return };
         self.exclude.extend(grant.members.iter().map(|m| m.endpoint.clone()));
         match failure {
             SendFailure::NotConnected | SendFailure::RefusedNotRun => {
-                self.give_back(ReleaseReason::NeverSent);
-                self.retry_unrun(retry, next);
+                self.release_grant(ReleaseReason::NeverSent);
+                self.retry_not_run(retry, next);
             }
             SendFailure::PartRefused => {
-                self.give_back(ReleaseReason::Abandoned);
-                self.retry_unrun(retry, next);
+                self.release_grant(ReleaseReason::Abandoned);
+                self.retry_not_run(retry, next);
             }
             SendFailure::Broken => {
-                self.maybe_ran = true;
-                self.give_back(ReleaseReason::Abandoned);
+                self.may_have_run = true;
+                self.release_grant(ReleaseReason::Abandoned);
                 self.retry_or_fail(retry, next, "the connection to the endpoint broke");
             }
         }
     }
 
-    /// Tries again after nothing was sent, which a non-repeatable request may do as well.
-    fn retry_unrun(&mut self, retry: impl FnOnce() -> bool, next: impl FnOnce() -> AttemptId) {
+    /// Retries after an attempt that did not run. Non-repeatable requests may retry here as well.
+    fn retry_not_run(&mut self, retry: impl FnOnce() -> bool, next: impl FnOnce() -> AttemptId) {
         if self.attempts < MAX_ATTEMPTS && retry() {
-            self.ask(next(), self.backoff());
+            self.request_grant(next(), self.backoff());
         } else {
-            self.fail(ErrorCode::EndpointFailed, "no endpoint could be reached", Some(SHORT_WAIT));
+            self.fail(
+                ErrorCode::EndpointFailed,
+                "no endpoint could be reached",
+                Some(SHORT_RETRY_AFTER),
+            );
         }
     }
 
@@ -458,59 +468,59 @@
         next: impl FnOnce() -> AttemptId,
         detail: &str,
     ) {
-        let allowed = self.plan.repeatable || !self.maybe_ran;
+        let allowed = self.plan.repeatable || !self.may_have_run;
         if allowed && self.attempts < MAX_ATTEMPTS && retry() {
-            self.ask(next(), self.backoff());
+            self.request_grant(next(), self.backoff());
         } else {
             self.fail(ErrorCode::EndpointFailed, detail, None);
         }
     }
 
     fn backoff(&self) -> Duration {
-        FIRST_BACKOFF * 2_u32.pow(self.attempts.saturating_sub(1).min(5))
+        INITIAL_BACKOFF * 2_u32.pow(self.attempts.saturating_sub(1).min(5))
     }
 
-    /// Notes that the request's time is over.
+    /// Handles the expiry of the request's deadline.
     pub fn deadline_passed(&mut self) {
         self.stop(ErrorCode::DeadlineExceeded, "the request's time is over");
     }
 
-    /// Notes that the caller has gone.
+    /// Handles the disconnection of the caller.
     pub fn caller_gone(&mut self) {
         self.stop(ErrorCode::EndpointFailed, "the caller closed the connection");
     }
 
-    /// Notes that the daemon cannot go on.
+    /// Ends the request because the daemon shuts down.
     pub fn abandon(&mut self) {
         self.stop(ErrorCode::Draining, "the daemon ended before the request did");
     }
 
     fn stop(&mut self, code: ErrorCode, detail: &str) {
         match &self.state {
-            LifeState::Ended => return,
-            // The claim may be committed later than this; settling frees it.
-            LifeState::Claiming => self.claimed = true,
-            LifeState::Waiting { attempt } => {
+            State::Ended => return,
+            // The claim may still be committed after this point. Settling frees it.
+            State::Claiming => self.claimed = true,
+            State::Waiting { attempt } => {
                 let release = RequestCommand::Release(attempt.clone(), ReleaseReason::NeverSent);
                 self.commands.push(release);
             }
-            LifeState::Running { .. } => {
-                self.maybe_ran = true;
-                self.give_back(ReleaseReason::Abandoned);
+            State::Running { .. } => {
+                self.may_have_run = true;
+                self.release_grant(ReleaseReason::Abandoned);
             }
         }
         self.fail(code, detail, None);
     }
 
-    /// Gives the present grant back, cancelling what may still run.
-    fn give_back(&mut self, reason: ReleaseReason) {
-        let LifeState::Running { grant, .. } = &self.state else { return };
+    /// Releases the current grant and cancels the work that may still run.
+    fn release_grant(&mut self, reason: ReleaseReason) {
+        let State::Running { grant, .. } = &self.state else { return };
         let (attempt, members) = (grant.attempt.clone(), grant.members.clone());
         match reason {
             ReleaseReason::Abandoned => {
                 self.commands.push(RequestCommand::Cancel(attempt.clone(), members));
             }
-            // The leading engine is done; the other parts of a group are not told by it.
+            // The leading engine has finished, but does not notify the other parts of its group.
             ReleaseReason::Ended { .. } if members.len() > 1 => {
                 let parts = members[1..].to_vec();
                 self.commands.push(RequestCommand::Cancel(attempt.clone(), parts));
@@ -520,14 +530,14 @@
         self.commands.push(RequestCommand::Release(attempt, reason));
     }
 
-    /// Ends it with an error that says truly whether it ran.
+    /// Ends the request with an error that reports whether it ran.
     fn fail(&mut self, code: ErrorCode, detail: &str, retry_after: Option<Duration>) {
-        let ran = match (self.maybe_ran, self.delivered > 0) {
+        let ran = match (self.may_have_run, self.delivered > 0) {
             (false, _) => RanState::No,
             (true, true) => RanState::Yes,
             (true, false) => RanState::Unknown,
         };
-        // A non-repeatable request whose end is not known gets the code that says so.
+        // A non-repeatable request with an unknown outcome always gets `OutcomeUnknown`.
         let code = match ran {
             RanState::Unknown if !self.plan.repeatable => ErrorCode::OutcomeUnknown,
             _ => code,
@@ -545,25 +555,33 @@
         }
     }
 
-    /// Ends it.
+    /// Ends the request and settles its claim.
     ///
     /// # Panics
     ///
-    /// Panics when it has ended before: a caller must never get two ends.
+    /// Panics if the request has already ended, since a caller must never get two outcomes, if
+    /// `ran: no` is reported although an endpoint may have run the request, or if a successful
+    /// outcome leaves its claim unsettled.
     fn finish(&mut self, outcome: RequestOutcome) {
-        assert!(!self.ended(), "a request ends once");
+        assert!(!self.ended(), "a request ends only once");
         match &outcome {
             RequestOutcome::Failed(error) if error.ran == RanState::No => {
-                assert!(!self.maybe_ran, "`not run` is said only if nothing can have run");
+                assert!(
+                    !self.may_have_run,
+                    "`ran: no` requires that no endpoint can have run the request"
+                );
                 self.settle(ClaimVerdict::NotRun);
             }
             RequestOutcome::Failed(_) => self.settle(ClaimVerdict::Unknown),
-            // Whoever ended it with an answer has settled the claim with that answer.
+            // The caller of this function has settled the claim with the answer.
             RequestOutcome::Done { .. } | RequestOutcome::Kept(_) => {
-                assert!(!self.claimed, "a claim is settled with its answer");
+                assert!(
+                    !self.claimed,
+                    "the claim must be settled with its answer before the request ends"
+                );
             }
         }
-        self.state = LifeState::Ended;
+        self.state = State::Ended;
         self.commands.push(RequestCommand::Finish(outcome));
     }
 }
--- a/crates/request/src/outcome.rs
+++ b/crates/request/src/outcome.rs
@@ -1,32 +1,32 @@
-//! How a request ends.
+//! The outcome of a request.
 
 use std::time::Duration;
 
 use oriolepass_config::KeptAnswer;
 use oriolepass_schema::error::{ApiError, ErrorCode, RanState};
 
-/// The end of a request.
+/// Outcome of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// The whole answer was delivered.
+    /// The complete answer was delivered.
     Done {
-        /// Its tokens.
+        /// Number of tokens in the answer.
         tokens: u64,
-        /// SHA-256 of its text.
+        /// SHA-256 of the answer's text.
         digest: String,
-        /// Why it ended.
+        /// Why generation stopped.
         finish_reason: String,
-        /// How often it was tried.
+        /// Number of attempts that were sent.
         attempts: u32,
     },
-    /// An earlier request with the same caller key ran; this is its answer.
+    /// The stored answer of an earlier request with the same caller key.
     Kept(KeptAnswer),
-    /// It failed.
+    /// The request failed.
     Failed(ApiError),
 }
 
 impl RequestOutcome {
-    /// Returns the word for metrics.
+    /// Returns the label for metrics.
     pub fn label(&self) -> &'static str {
         match self {
             Self::Done { .. } => "done",
@@ -39,7 +39,7 @@
         Self::Failed(ApiError::new(code, ran, detail))
     }
 
-    pub(crate) fn come_back(code: ErrorCode, detail: &str, retry_after: Duration) -> Self {
+    pub(crate) fn retry_later(code: ErrorCode, detail: &str, retry_after: Duration) -> Self {
         Self::Failed(ApiError::not_run(code, detail).retry_after(retry_after))
     }
 }
