--- a/crates/request/tests/world/deliver.rs
+++ b/crates/request/tests/world/deliver.rs
@@ -1,4 +1,4 @@
-//! What happens when something arrives.
+//! Delivery of events, periodic work, and crashes of engines and homes.
 
 use std::time::Duration;
 
@@ -16,50 +16,50 @@
 use super::{Coverage, ENGINES, ENTRIES, Event, World};
 
 impl World {
-    /// Decides what the loss of a message means to whoever waits for it.
-    pub fn lose(&mut self, event: Event) {
+    /// Schedules the event by which the sender or receiver notices the loss of a message.
+    pub fn drop_message(&mut self, event: Event) {
         match event {
-            // The asker's patience with a lost home ends some time.
+            // The entry's grant request to an unreachable home times out.
             Event::Ask { request, ask, .. } => {
                 let attempt = ask.attempt;
-                self.at(Duration::from_secs(1), Event::HomeLost { request, attempt });
+                self.schedule(Duration::from_secs(1), Event::HomeUnreachable { request, attempt });
             }
             Event::Answer { request, answer, .. } => {
                 let attempt = match answer {
                     Ok(grant) => grant.attempt,
                     Err((attempt, _)) => attempt,
                 };
-                self.at(Duration::from_secs(1), Event::HomeLost { request, attempt });
+                self.schedule(Duration::from_secs(1), Event::HomeUnreachable { request, attempt });
             }
             Event::Claimed { request, .. } => {
-                self.at(Duration::from_secs(2), Event::Claimed { request, answer: None });
+                self.schedule(Duration::from_secs(2), Event::Claimed { request, answer: None });
             }
-            // A lost piece of a connection breaks the connection.
+            // The loss of a piece breaks its connection.
             Event::Line { request, line } => {
                 let attempt = line.attempt().clone();
                 self.break_stream(request, attempt);
             }
             Event::Send { request, call, .. } => self.break_stream(request, call.attempt),
-            Event::Call { request, attempt, .. }
+            Event::ServiceCall { request, attempt, .. }
             | Event::ServiceAnswer { request, attempt, .. } => {
                 self.break_stream(request, attempt);
             }
-            // The driver repeats a release for as long as the lease lasts.
+            // The driver resends a release until the lease expires.
             Event::Release { home, attempt, reason } => {
-                self.at(Duration::from_millis(50), Event::Release { home, attempt, reason });
+                self.schedule(Duration::from_millis(50), Event::Release { home, attempt, reason });
             }
             _ => {}
         }
     }
 
-    /// Breaks a connection. An engine drops what nobody reads any more.
+    /// Breaks a connection. An engine cancels an attempt that has no reader.
     fn break_stream(&mut self, request: usize, attempt: AttemptId) {
         let failure = SendFailure::Broken;
         for engine in 0..ENGINES {
             let cancel = Event::Cancel { engine, attempt: attempt.clone() };
-            self.at(Duration::from_millis(2), cancel);
+            self.schedule(Duration::from_millis(2), cancel);
         }
-        self.at(Duration::from_millis(2), Event::Broke { request, attempt, failure });
+        self.schedule(Duration::from_millis(2), Event::SendFailed { request, attempt, failure });
     }
 
     pub fn deliver(&mut self, event: Event, coverage: &mut Coverage) {
@@ -76,18 +76,18 @@
             Event::Answer { request, home, answer } => {
                 self.answer(request, home, answer, coverage);
             }
-            Event::HomeLost { request, attempt } => {
+            Event::HomeUnreachable { request, attempt } => {
                 let next = self.fresh_attempt();
-                let lost = AttemptRefusal::HomeUnreachable;
-                self.with_life(request, coverage, |life| life.refused(&attempt, &lost, || next));
+                let refusal = AttemptRefusal::HomeUnreachable;
+                self.with_lifecycle(request, coverage, |r| r.refused(&attempt, &refusal, || next));
             }
             Event::Claimed { request, answer } => {
                 let next = self.fresh_attempt();
                 coverage.still_running +=
                     u64::from(answer == Some(oriolepass_config::ClaimAnswer::StillRunning));
-                self.with_life(request, coverage, |life| match answer {
-                    Some(answer) => life.claim_answered(answer, || next),
-                    None => life.claim_failed(),
+                self.with_lifecycle(request, coverage, |r| match answer {
+                    Some(answer) => r.claim_answered(answer, || next),
+                    None => r.claim_failed(),
                 });
             }
             Event::Started { home, attempt } => self.homes[home].started(self.now, &attempt),
@@ -101,13 +101,13 @@
                 }
             }
             Event::Send { request, engine, call } => {
-                self.arrive(request, engine, &call, coverage);
+                self.submit_to_engine(request, engine, &call, coverage);
             }
             Event::Line { request, line } => self.line(request, line, coverage),
-            Event::Broke { request, attempt, failure } => {
-                self.broke(request, &attempt, failure, coverage);
+            Event::SendFailed { request, attempt, failure } => {
+                self.send_failed(request, &attempt, failure, coverage);
             }
-            Event::Call { request, attempt, body } => {
+            Event::ServiceCall { request, attempt, body } => {
                 self.service.run(&attempt, &body);
                 coverage.services_run += 1;
                 let text = format!("done {body}");
@@ -116,11 +116,11 @@
                 self.post(answer, coverage);
             }
             Event::ServiceAnswer { request, attempt, kept, body } => {
-                self.with_life(request, coverage, |life| {
-                    life.service_answered(&attempt, &kept, &body);
+                self.with_lifecycle(request, coverage, |r| {
+                    r.service_answered(&attempt, &kept, &body);
                 });
             }
-            // The plain service holds nothing that could be cancelled.
+            // The plain service holds no memory, so there is nothing to cancel.
             Event::Cancel { engine, .. } if engine >= ENGINES => {}
             Event::Cancel { engine, attempt } => {
                 self.engines[engine].readers.remove(&attempt);
@@ -137,24 +137,24 @@
             Event::Step { engine, incarnation } => self.step(engine, incarnation, coverage),
             Event::Deadline { request } => {
                 let open = self.requests[request].outcome.is_none();
-                coverage.deadlines += u64::from(open && !self.requests[request].gone);
-                self.with_life(request, coverage, RequestLifecycle::deadline_passed);
+                coverage.deadlines += u64::from(open && !self.requests[request].entry_crashed);
+                self.with_lifecycle(request, coverage, RequestLifecycle::deadline_passed);
             }
         }
     }
 
-    /// Tells a request's state machine something, unless its entry has died.
-    fn with_life(
+    /// Applies an event to a request's state machine, unless its entry has crashed.
+    fn with_lifecycle(
         &mut self,
         number: usize,
         coverage: &mut Coverage,
-        tell: impl FnOnce(&mut RequestLifecycle),
+        apply: impl FnOnce(&mut RequestLifecycle),
     ) {
-        if self.requests[number].gone {
+        if self.requests[number].entry_crashed {
             return;
         }
-        tell(&mut self.requests[number].life);
-        self.carry_out(number, coverage);
+        apply(&mut self.requests[number].lifecycle);
+        self.execute_commands(number, coverage);
     }
 
     fn answer(
@@ -167,20 +167,21 @@
         let now = self.now;
         match answer {
             Ok(grant) => {
-                if !self.requests[request].gone && self.requests[request].outcome.is_none() {
+                if !self.requests[request].entry_crashed && self.requests[request].outcome.is_none()
+                {
                     self.requests[request].home = Some(home);
                 }
-                self.with_life(request, coverage, |life| life.granted(now, grant));
+                self.with_lifecycle(request, coverage, |r| r.granted(now, grant));
             }
             Err((attempt, refusal)) => {
                 let next = self.fresh_attempt();
                 let refusal = AttemptRefusal::Home(refusal);
-                self.with_life(request, coverage, |life| life.refused(&attempt, &refusal, || next));
+                self.with_lifecycle(request, coverage, |r| r.refused(&attempt, &refusal, || next));
             }
         }
     }
 
-    fn arrive(
+    fn submit_to_engine(
         &mut self,
         request: usize,
         engine: usize,
@@ -191,7 +192,7 @@
         if !target.alive {
             let failure = SendFailure::NotConnected;
             let attempt = call.attempt.clone();
-            self.post(Event::Broke { request, attempt, failure }, coverage);
+            self.post(Event::SendFailed { request, attempt, failure }, coverage);
             return;
         }
         match target.model.submit(call) {
@@ -213,7 +214,7 @@
         if !target.stepping {
             target.stepping = true;
             let incarnation = target.incarnation;
-            self.at(Duration::from_millis(1), Event::Step { engine, incarnation });
+            self.schedule(Duration::from_millis(1), Event::Step { engine, incarnation });
         }
     }
 
@@ -226,7 +227,7 @@
         if target.model.is_idle() {
             target.stepping = false;
         } else {
-            self.at(step.duration, Event::Step { engine, incarnation });
+            self.schedule(step.duration, Event::Step { engine, incarnation });
         }
         for event in step.events {
             let line = match event {
@@ -240,28 +241,28 @@
             let Some(reader) = self.engines[engine].readers.get(line.attempt()).copied() else {
                 continue;
             };
-            // A connection keeps its order, so lines take the same time; some are doubled, and
-            // some reach a request that they do not belong to.
-            let doubled = !self.calm && self.random.random_bool(0.005);
-            let crossed = !self.calm && self.random.random_bool(0.005);
-            if doubled {
+            // A connection preserves the order of its lines, so they all take the same time. Some
+            // lines are duplicated, and some reach a request that they do not belong to.
+            let duplicated = !self.recovering && self.random.random_bool(0.005);
+            let misrouted = !self.recovering && self.random.random_bool(0.005);
+            if duplicated {
                 let copy = Event::Line { request: reader, line: line.clone() };
-                self.at(Duration::from_millis(40), copy);
+                self.schedule(Duration::from_millis(40), copy);
                 coverage.late_lines += 1;
             }
-            if crossed {
+            if misrouted {
                 let other = self.random.random_range(0..self.requests.len());
-                self.at(
+                self.schedule(
                     Duration::from_millis(3),
                     Event::Line { request: other, line: line.clone() },
                 );
             }
-            let lost = !self.calm && self.random.random_bool(0.001);
+            let lost = !self.recovering && self.random.random_bool(0.001);
             if lost {
                 coverage.broken_streams += 1;
-                self.lose(Event::Line { request: reader, line });
+                self.drop_message(Event::Line { request: reader, line });
             } else {
-                self.at(Duration::from_millis(1), Event::Line { request: reader, line });
+                self.schedule(Duration::from_millis(1), Event::Line { request: reader, line });
             }
         }
     }
@@ -269,27 +270,27 @@
     fn line(&mut self, request: usize, line: StreamLine, coverage: &mut Coverage) {
         let next = self.fresh_attempt();
         let allowed = self.budget.spend();
-        let before = self.requests[request].life.strays();
-        self.with_life(request, coverage, |life| life.line(line, || allowed, || next));
-        coverage.strays += self.requests[request].life.strays() - before;
+        let before = self.requests[request].lifecycle.strays();
+        self.with_lifecycle(request, coverage, |r| r.line(line, || allowed, || next));
+        coverage.strays += self.requests[request].lifecycle.strays() - before;
     }
 
-    fn broke(
+    fn send_failed(
         &mut self,
         request: usize,
         attempt: &AttemptId,
         failure: SendFailure,
         coverage: &mut Coverage,
     ) {
-        if self.requests[request].life.attempt() != Some(attempt) {
+        if self.requests[request].lifecycle.attempt() != Some(attempt) {
             return;
         }
         let next = self.fresh_attempt();
         let allowed = self.budget.spend();
-        self.with_life(request, coverage, |life| life.send_failed(failure, || allowed, || next));
+        self.with_lifecycle(request, coverage, |r| r.send_failed(failure, || allowed, || next));
     }
 
-    /// Carries out what a home wants done.
+    /// Executes the commands emitted by a home.
     pub fn home_commands(&mut self, home: usize, coverage: &mut Coverage) {
         loop {
             let commands = self.homes[home].take_commands();
@@ -305,7 +306,7 @@
     fn home_command(&mut self, home: usize, command: HomeCommand, coverage: &mut Coverage) {
         match command {
             HomeCommand::Grant(grant) => {
-                let asker = self.asker_of(&grant.attempt);
+                let asker = self.request_of(&grant.attempt);
                 match asker {
                     Some(request) => {
                         self.post(Event::Answer { request, home, answer: Ok(grant) }, coverage);
@@ -317,7 +318,7 @@
                 }
             }
             HomeCommand::Refuse { attempt, refusal } => {
-                if let Some(request) = self.asker_of(&attempt) {
+                if let Some(request) = self.request_of(&attempt) {
                     let answer = Err((attempt, refusal));
                     self.post(Event::Answer { request, home, answer }, coverage);
                 }
@@ -336,18 +337,20 @@
                         self.post(Event::Held { home, engine, asked, streams }, coverage);
                     }
                 } else {
-                    // The plain service holds nothing between calls.
+                    // The plain service holds no memory between calls.
                     self.homes[home].held_streams(self.now, self.now, &endpoint, &[]);
                 }
             }
         }
     }
 
-    fn asker_of(&self, attempt: &AttemptId) -> Option<usize> {
-        self.requests.iter().position(|r| r.life.attempt() == Some(attempt) && !r.gone)
+    fn request_of(&self, attempt: &AttemptId) -> Option<usize> {
+        self.requests
+            .iter()
+            .position(|r| r.lifecycle.attempt() == Some(attempt) && !r.entry_crashed)
     }
 
-    /// What happens regularly: heartbeats, renewals, the homes' own ticks.
+    /// Runs the periodic work: heartbeats, lease renewals and the homes' own ticks.
     pub fn tick(&mut self, coverage: &mut Coverage) {
         let (now, home) = (self.now, self.home);
         for engine in 0..ENGINES {
@@ -358,10 +361,10 @@
             let attempts: Vec<AttemptId> = self
                 .requests
                 .iter()
-                .filter(|r| r.entry == entry && !r.gone && r.outcome.is_none())
+                .filter(|r| r.entry == entry && !r.entry_crashed && r.outcome.is_none())
                 .filter_map(|r| r.grant.as_ref().map(|grant| grant.attempt.clone()))
                 .collect();
-            let lost = !self.calm && self.random.random_bool(0.05);
+            let lost = !self.recovering && self.random.random_bool(0.05);
             if !lost {
                 self.homes[home].renew(now, &entry_name(entry), &attempts);
             }
@@ -387,46 +390,46 @@
             target.last_heartbeat = Some(now);
             return;
         }
-        // The old home may be dead or frozen and has not let it go.
+        // The old home may have crashed or stalled without releasing the engine.
         let announcement = target.announcement(now);
         self.homes[home].announce(now, &announcement, PoolRole::General);
         target.home = Some(home);
         target.last_heartbeat = Some(now);
     }
 
-    pub fn kill_engine(&mut self, coverage: &mut Coverage) {
+    pub fn crash_engine(&mut self, coverage: &mut Coverage) {
         let victim = self.random.random_range(0..ENGINES);
         if !self.engines[victim].alive {
             return;
         }
         coverage.engine_deaths += 1;
-        self.note(|| format!("engine {victim} dies"));
+        self.log(|| format!("engine {victim} crashes"));
         let readers: Vec<_> = self.engines[victim].readers.clone().into_iter().collect();
-        self.engines[victim].die();
+        self.engines[victim].crash();
         for (attempt, request) in readers {
             let failure = SendFailure::Broken;
-            self.post(Event::Broke { request, attempt, failure }, coverage);
+            self.post(Event::SendFailed { request, attempt, failure }, coverage);
         }
     }
 
-    /// The home dies, or is cut off; the other one takes over with an empty ledger.
-    pub fn kill_home(&mut self, coverage: &mut Coverage) {
+    /// Crashes the home or cuts it off. The other home takes over with an empty ledger.
+    pub fn crash_home(&mut self, coverage: &mut Coverage) {
         coverage.home_deaths += 1;
         let old = self.home;
         self.home = 1 - old;
-        self.note(|| format!("home {old} dies"));
-        self.homes[self.home] = super::home();
-        let stays = self.random.random_bool(0.5);
-        if !stays {
-            self.homes[old] = super::home();
+        self.log(|| format!("home {old} crashes"));
+        self.homes[self.home] = super::new_home();
+        let survives = self.random.random_bool(0.5);
+        if !survives {
+            self.homes[old] = super::new_home();
         }
-        // Whoever waited there finds out.
+        // Requests that wait for a grant from the old home notice that it is unreachable.
         for number in 0..self.requests.len() {
             let waits = self.requests[number].grant.is_none();
-            let attempt = self.requests[number].life.attempt().cloned();
+            let attempt = self.requests[number].lifecycle.attempt().cloned();
             if let Some(attempt) = attempt.filter(|_| waits) {
-                let lost = Event::HomeLost { request: number, attempt };
-                self.at(Duration::from_millis(800), lost);
+                let lost = Event::HomeUnreachable { request: number, attempt };
+                self.schedule(Duration::from_millis(800), lost);
             }
         }
     }
--- a/crates/request/tests/world/endpoints.rs
+++ b/crates/request/tests/world/endpoints.rs
@@ -1,4 +1,4 @@
-//! Engines and a plain service with ledgers of what they ran.
+//! Stand-in engines and a plain service that record the attempts that they ran.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,25 +10,25 @@
 pub const MODEL: &str = "m";
 pub const SERVICE: &str = "s";
 
-/// An engine that can die.
+/// An engine that can crash and restart.
 pub struct TestEngine {
     pub number: usize,
     pub model: EngineModel,
     pub incarnation: u64,
     pub alive: bool,
-    /// The home that it heartbeats to.
+    /// Home that receives the engine's heartbeats.
     pub home: Option<usize>,
     pub last_heartbeat: Option<MonotonicTime>,
     pub stepping: bool,
-    /// Who reads each attempt's answer.
+    /// Request that reads the answer of each attempt.
     pub readers: BTreeMap<AttemptId, usize>,
-    /// Attempts that began here, in any life.
+    /// Number of times that each attempt began here, over all incarnations.
     pub began: BTreeMap<AttemptId, u64>,
 }
 
 fn config() -> EngineConfig {
     EngineConfig {
-        models: vec![MODEL.parse().expect("a name")],
+        models: vec![MODEL.parse().expect("valid name")],
         memory: TokenCount(20_000),
         prefill_rate: TokenRate(50_000),
         step_base: Duration::from_millis(5),
@@ -54,14 +54,14 @@
 
     pub fn announcement(&self, now: MonotonicTime) -> EndpointAnnouncement {
         EndpointAnnouncement {
-            endpoint: format!("e-{}", self.number).parse().expect("a name"),
+            endpoint: format!("e-{}", self.number).parse().expect("valid name"),
             incarnation: Incarnation(self.incarnation),
-            data_centre: "dc".parse().expect("a name"),
-            address: format!("127.0.0.1:{}", self.number + 1).parse().expect("an address"),
+            data_centre: "dc".parse().expect("valid name"),
+            address: format!("127.0.0.1:{}", self.number + 1).parse().expect("valid address"),
             fenced: true,
-            other_home_ms: self
-                .last_heartbeat
-                .map(|at| u64::try_from(now.since(at).as_millis()).expect("short")),
+            other_home_ms: self.last_heartbeat.map(|at| {
+                u64::try_from(now.since(at).as_millis()).expect("the interval fits in u64")
+            }),
             kind: EndpointKind::Engine {
                 models: self.model.config().models.clone(),
                 memory: self.model.config().memory,
@@ -72,7 +72,7 @@
 
     pub fn heartbeat(&self) -> EndpointHeartbeat {
         EndpointHeartbeat {
-            endpoint: format!("e-{}", self.number).parse().expect("a name"),
+            endpoint: format!("e-{}", self.number).parse().expect("valid name"),
             incarnation: Incarnation(self.incarnation),
             used: self.model.used(),
             prefill_backlog: TokenCount::ZERO,
@@ -80,14 +80,14 @@
         }
     }
 
-    pub fn die(&mut self) {
+    pub fn crash(&mut self) {
         self.alive = false;
         self.model = EngineModel::new(config());
         self.readers.clear();
         self.stepping = false;
     }
 
-    pub fn revive(&mut self) {
+    pub fn restart(&mut self) {
         if !self.alive {
             self.alive = true;
             self.incarnation += 1;
@@ -97,11 +97,11 @@
     }
 }
 
-/// A plain service that never dies, whose answers may get lost.
+/// A plain service that never crashes. Its answers may be lost.
 pub struct TestService {
-    /// How often each body was run.
+    /// Number of times that each body was run.
     pub runs: BTreeMap<String, u32>,
-    /// The attempts that were run.
+    /// Attempts that were run, with their bodies.
     pub began: BTreeMap<AttemptId, String>,
 }
 
@@ -112,14 +112,14 @@
 
     pub fn announcement() -> EndpointAnnouncement {
         EndpointAnnouncement {
-            endpoint: "service".parse().expect("a name"),
+            endpoint: "service".parse().expect("valid name"),
             incarnation: Incarnation(1),
-            data_centre: "dc".parse().expect("a name"),
-            address: "127.0.0.1:99".parse().expect("an address"),
+            data_centre: "dc".parse().expect("valid name"),
+            address: "127.0.0.1:99".parse().expect("valid address"),
             fenced: false,
             other_home_ms: None,
             kind: EndpointKind::Service {
-                service: SERVICE.parse().expect("a name"),
+                service: SERVICE.parse().expect("valid name"),
                 concurrency: 8,
             },
         }
--- a/crates/request/tests/world/mod.rs
+++ b/crates/request/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! The world of the randomised run.
+//! Simulated environment of the randomised run: event queue, network faults and coverage counters.
 
 mod checks;
 mod deliver;
@@ -21,9 +21,10 @@
 use endpoints::{TestEngine, TestService};
 use requests::TestRequest;
 
-/// How long things go wrong, and how long everything then has to settle.
-const STORM: Duration = Duration::from_secs(20);
-const CALM: Duration = Duration::from_secs(60);
+/// Duration of the phase in which faults are injected.
+const FAULT_PHASE_DURATION: Duration = Duration::from_secs(20);
+/// Maximum time after the fault phase until every request has ended and all memory is released.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(60);
 
 pub const ENGINES: usize = 3;
 pub const ENTRIES: usize = 2;
@@ -57,20 +58,20 @@
     expired_grants,
 );
 
-/// Something that arrives.
+/// A message or timer that becomes due.
 #[derive(Debug)]
 pub enum Event {
     Ask { home: usize, request: usize, ask: Box<GrantAsk> },
     Answer { request: usize, home: usize, answer: Result<PromptGrant, (AttemptId, GrantRefusal)> },
-    HomeLost { request: usize, attempt: AttemptId },
+    HomeUnreachable { request: usize, attempt: AttemptId },
     Claimed { request: usize, answer: Option<ClaimAnswer> },
     Started { home: usize, attempt: AttemptId },
     Release { home: usize, attempt: AttemptId, reason: ReleaseReason },
     Part { engine: usize, call: PartCall },
     Send { request: usize, engine: usize, call: Box<AttemptCall> },
     Line { request: usize, line: StreamLine },
-    Broke { request: usize, attempt: AttemptId, failure: oriolepass_request::SendFailure },
-    Call { request: usize, attempt: AttemptId, body: String },
+    SendFailed { request: usize, attempt: AttemptId, failure: oriolepass_request::SendFailure },
+    ServiceCall { request: usize, attempt: AttemptId, body: String },
     ServiceAnswer { request: usize, attempt: AttemptId, kept: KeptAnswer, body: String },
     Cancel { engine: usize, attempt: AttemptId },
     Held { home: usize, engine: usize, asked: MonotonicTime, streams: Vec<HeldStream> },
@@ -94,11 +95,11 @@
     entry_epochs: [u64; ENTRIES],
     budget: RetryBudget,
     attempts: u64,
-    calm: bool,
+    recovering: bool,
     trace: bool,
 }
 
-fn home() -> HomeScheduler {
+fn new_home() -> HomeScheduler {
     HomeScheduler::new(SchedulerConfig {
         grant_lease: Duration::from_secs(2),
         ..SchedulerConfig::default()
@@ -114,7 +115,7 @@
             events: BTreeMap::new(),
             serial: 0,
             state: ReplicatedState::default(),
-            homes: [home(), home()],
+            homes: [new_home(), new_home()],
             home: 0,
             quorum: true,
             engines: (0..ENGINES).map(TestEngine::new).collect(),
@@ -123,14 +124,14 @@
             entry_epochs: [0; ENTRIES],
             budget: RetryBudget::default(),
             attempts: 0,
-            calm: false,
+            recovering: false,
             trace,
         };
         (0..ENTRIES).for_each(|entry| world.join_entry(entry));
         world
     }
 
-    fn note(&self, text: impl FnOnce() -> String) {
+    fn log(&self, text: impl FnOnce() -> String) {
         if self.trace {
             println!("{:>10} {}", self.now.0, text());
         }
@@ -138,57 +139,57 @@
 
     fn fresh_attempt(&mut self) -> AttemptId {
         self.attempts += 1;
-        format!("a-{}", self.attempts).parse().expect("a valid id")
+        format!("a-{}", self.attempts).parse().expect("valid attempt id")
     }
 
-    /// Sends something, which arrives after a while, or never while things go wrong.
+    /// Sends a message. It arrives after a random delay; during the fault phase it may be lost.
     fn post(&mut self, event: Event, coverage: &mut Coverage) {
-        let lost = !self.calm && self.random.random_bool(0.02);
+        let lost = !self.recovering && self.random.random_bool(0.02);
         let droppable = !matches!(event, Event::Step { .. } | Event::Deadline { .. });
         if lost && droppable {
             coverage.lost_messages += 1;
-            self.lose(event);
+            self.drop_message(event);
             return;
         }
-        let slow = !self.calm && self.random.random_bool(0.03);
+        let slow = !self.recovering && self.random.random_bool(0.03);
         let micros = if slow {
             self.random.random_range(50_000..3_000_000)
         } else {
             self.random.random_range(200..3_000)
         };
-        self.at(Duration::from_micros(micros), event);
+        self.schedule(Duration::from_micros(micros), event);
     }
 
-    fn at(&mut self, after: Duration, event: Event) {
+    fn schedule(&mut self, after: Duration, event: Event) {
         self.serial += 1;
         self.events.insert((self.now + after, self.serial), event);
     }
 
     pub fn run(mut self, coverage: &mut Coverage) {
-        let storm_ends = self.now + STORM;
-        let all_ends = storm_ends + CALM;
+        let faults_end = self.now + FAULT_PHASE_DURATION;
+        let run_ends = faults_end + RECOVERY_TIMEOUT;
         let mut tick_due = self.now;
-        while self.now < all_ends {
-            if !self.calm && self.now >= storm_ends {
-                self.calm_down();
+        while self.now < run_ends {
+            if !self.recovering && self.now >= faults_end {
+                self.begin_recovery();
             }
             if self.now >= tick_due {
                 tick_due = self.now + Duration::from_millis(50);
                 self.tick(coverage);
-                if !self.calm {
-                    self.storm(coverage);
+                if !self.recovering {
+                    self.random_action(coverage);
                 }
             }
             let next = self.events.first_key_value().map(|((at, _), _)| *at);
             match next.filter(|at| *at <= tick_due) {
                 Some(at) => {
                     self.now = self.now.max(at);
-                    let (_, event) = self.events.pop_first().expect("looked at");
+                    let (_, event) = self.events.pop_first().expect("the queue is not empty");
                     self.deliver(event, coverage);
                 }
                 None => self.now = tick_due,
             }
-            if self.calm && self.settled() {
+            if self.recovering && self.settled() {
                 break;
             }
         }
@@ -196,12 +197,12 @@
         coverage.seeds += 1;
     }
 
-    /// Ends the failures: everything that died comes back.
-    fn calm_down(&mut self) {
-        self.calm = true;
+    /// Ends the fault phase and restarts everything that has crashed.
+    fn begin_recovery(&mut self) {
+        self.recovering = true;
         self.quorum = true;
         for engine in &mut self.engines {
-            engine.revive();
+            engine.restart();
         }
         for entry in 0..ENTRIES {
             if self.entry_epochs[entry] == 0 {
@@ -210,18 +211,18 @@
         }
     }
 
-    /// Lets something happen, good or bad.
-    fn storm(&mut self, coverage: &mut Coverage) {
+    /// Takes a random action: admits or resends a request, or injects or repairs a fault.
+    fn random_action(&mut self, coverage: &mut Coverage) {
         match self.random.random_range(0..100) {
             0..=29 => self.admit(coverage),
             30..=36 => self.resend(coverage),
-            37..=38 => self.kill_engine(coverage),
+            37..=38 => self.crash_engine(coverage),
             39..=44 => {
-                let victim = self.random.random_range(0..ENGINES);
-                self.engines[victim].revive();
+                let engine = self.random.random_range(0..ENGINES);
+                self.engines[engine].restart();
             }
-            45 => self.kill_home(coverage),
-            46 => self.kill_entry(coverage),
+            45 => self.crash_home(coverage),
+            46 => self.crash_entry(coverage),
             47..=49 => self.caller_gone(coverage),
             50..=51 => self.quorum = !self.quorum,
             52..=54 => self.quorum = true,
--- a/crates/request/tests/world/requests.rs
+++ b/crates/request/tests/world/requests.rs
@@ -1,4 +1,4 @@
-//! Requests and what a daemon's driver would do for them.
+//! Simulated requests, and the driver that executes their commands as the daemon does.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,13 +20,13 @@
 use super::{Coverage, ENTRIES, Event, World};
 
 pub struct TestRequest {
-    pub life: RequestLifecycle,
+    pub lifecycle: RequestLifecycle,
     pub entry: usize,
     pub epoch: u64,
     pub prompt: Option<PromptBody>,
     pub body: String,
     pub tokens: u64,
-    pub answer: u64,
+    pub answer_tokens: u64,
     pub key: Option<CallerKey>,
     pub nonce: AttemptId,
     pub deadline: MonotonicTime,
@@ -35,18 +35,18 @@
     pub delivered: String,
     pub outcome: Option<RequestOutcome>,
     pub caller_left: bool,
-    /// Whether the entry died with it.
-    pub gone: bool,
-    /// Every attempt that was sent.
+    /// Whether the request was lost because its entry crashed.
+    pub entry_crashed: bool,
+    /// Attempts that were sent.
     pub sent: Vec<AttemptId>,
 }
 
 fn account() -> AccountId {
-    "acc".parse().expect("a name")
+    "acc".parse().expect("valid name")
 }
 
 pub fn entry_name(entry: usize) -> InstanceId {
-    format!("entry-{entry}").parse().expect("a name")
+    format!("entry-{entry}").parse().expect("valid name")
 }
 
 impl World {
@@ -61,10 +61,10 @@
     }
 
     pub fn join_entry(&mut self, entry: usize) {
-        let address = "127.0.0.1:7".parse().expect("an address");
+        let address = "127.0.0.1:7".parse().expect("valid address");
         let record = MemberRecord {
             instance: entry_name(entry),
-            data_centre: "dc".parse().expect("a name"),
+            data_centre: "dc".parse().expect("valid name"),
             boot: self.now.0 + 1,
             epoch: LeaseEpoch::ZERO,
             draining: false,
@@ -88,7 +88,7 @@
         }
         let number = self.requests.len();
         let repeatable = self.random.random_bool(0.5);
-        let key = (!repeatable).then(|| format!("k-{number}").parse().expect("a key"));
+        let key = (!repeatable).then(|| format!("k-{number}").parse().expect("valid caller key"));
         let is_service = self.random.random_bool(0.3);
         let tokens =
             if is_service { 1 } else { [50, 500, 5_000, 30_000][self.random.random_range(0..4)] };
@@ -97,15 +97,15 @@
             PromptBody::Tokens(numbers.collect())
         });
         let long = self.random.random_bool(0.05);
-        let answer = match (is_service, long) {
+        let answer_tokens = match (is_service, long) {
             (true, _) => 0,
             (false, true) => self.random.random_range(500..1_500),
             (false, false) => self.random.random_range(1..60),
         };
-        self.start(coverage, entry, prompt, format!("body-{number}"), answer, key);
+        self.start(coverage, entry, prompt, format!("body-{number}"), answer_tokens, key);
     }
 
-    /// Sends a non-repeatable request again, through any entry.
+    /// Resends a random non-repeatable request through a random entry.
     pub fn resend(&mut self, coverage: &mut Coverage) {
         let keyed: Vec<usize> =
             (0..self.requests.len()).filter(|n| self.requests[*n].key.is_some()).collect();
@@ -115,9 +115,9 @@
         }
         let old = &self.requests[keyed[self.random.random_range(0..keyed.len())]];
         let (prompt, body) = (old.prompt.clone(), old.body.clone());
-        let (answer, key) = (old.answer, old.key.clone());
+        let (answer_tokens, key) = (old.answer_tokens, old.key.clone());
         coverage.resends += 1;
-        self.start(coverage, entry, prompt, body, answer, key);
+        self.start(coverage, entry, prompt, body, answer_tokens, key);
     }
 
     fn start(
@@ -126,21 +126,21 @@
         entry: usize,
         prompt: Option<PromptBody>,
         body: String,
-        answer: u64,
+        answer_tokens: u64,
         key: Option<CallerKey>,
     ) {
-        let patience = Duration::from_millis(self.random.random_range(200..12_000));
-        let deadline = self.now + patience;
+        let timeout = Duration::from_millis(self.random.random_range(200..12_000));
+        let deadline = self.now + timeout;
         let plan = RequestPlan { repeatable: key.is_none(), deadline };
         let first = self.fresh_attempt();
         let request = TestRequest {
-            life: RequestLifecycle::new(plan, first),
+            lifecycle: RequestLifecycle::new(plan, first),
             entry,
             epoch: self.entry_epochs[entry],
             tokens: prompt.as_ref().map_or(1, |prompt| prompt.tokens().0),
             prompt,
             body,
-            answer,
+            answer_tokens,
             key,
             nonce: self.fresh_attempt(),
             deadline,
@@ -149,42 +149,46 @@
             delivered: String::new(),
             outcome: None,
             caller_left: false,
-            gone: false,
+            entry_crashed: false,
             sent: Vec::new(),
         };
         coverage.admitted += 1;
         self.budget.earn();
         let number = self.requests.len();
-        self.note(|| format!("request {number} admitted at entry {entry}"));
+        self.log(|| format!("request {number} admitted at entry {entry}"));
         self.requests.push(request);
-        self.at(patience, Event::Deadline { request: number });
-        self.carry_out(number, coverage);
+        self.schedule(timeout, Event::Deadline { request: number });
+        self.execute_commands(number, coverage);
     }
 
-    /// Does what the state machine asks for, as the daemon's driver does.
-    pub fn carry_out(&mut self, number: usize, coverage: &mut Coverage) {
-        for command in self.requests[number].life.take_commands() {
-            self.note(|| format!("request {number}: {command:?}").chars().take(200).collect());
-            self.carry_out_one(number, command, coverage);
+    /// Executes the commands of a request's state machine, as the daemon's driver does.
+    pub fn execute_commands(&mut self, number: usize, coverage: &mut Coverage) {
+        for command in self.requests[number].lifecycle.take_commands() {
+            self.log(|| format!("request {number}: {command:?}").chars().take(200).collect());
+            self.execute_command(number, command, coverage);
         }
     }
 
-    fn carry_out_one(&mut self, number: usize, command: RequestCommand, coverage: &mut Coverage) {
+    fn execute_command(&mut self, number: usize, command: RequestCommand, coverage: &mut Coverage) {
         match command {
             RequestCommand::Claim => self.claim(number, coverage),
             RequestCommand::AskGrant { exclude, .. } => {
                 let request = &self.requests[number];
                 let target = match request.prompt {
-                    Some(_) => WorkTarget::Model(MODEL.parse().expect("a name")),
-                    None => WorkTarget::Service(SERVICE.parse().expect("a name")),
+                    Some(_) => WorkTarget::Model(MODEL.parse().expect("valid name")),
+                    None => WorkTarget::Service(SERVICE.parse().expect("valid name")),
                 };
                 let ask = GrantAsk {
-                    attempt: request.life.attempt().expect("it waits").clone(),
+                    attempt: request
+                        .lifecycle
+                        .attempt()
+                        .expect("the request waits for a grant")
+                        .clone(),
                     entry: entry_name(request.entry),
                     account: account(),
                     target,
                     prompt: TokenCount(request.tokens),
-                    answer: TokenCount(request.answer),
+                    answer: TokenCount(request.answer_tokens),
                     priority: RequestPriority::Normal,
                     patience: request.deadline.since(self.now),
                     prefix: Vec::new(),
@@ -195,7 +199,7 @@
                 self.post(Event::Ask { home, request: number, ask: Box::new(ask) }, coverage);
             }
             RequestCommand::Send { grant, resume_from, resume_text } => {
-                coverage.retried += u64::from(self.requests[number].life.attempts() > 1);
+                coverage.retried += u64::from(self.requests[number].lifecycle.attempts() > 1);
                 coverage.resumed += u64::from(resume_from > 0);
                 self.send(number, &grant, resume_from, resume_text, coverage);
             }
@@ -226,11 +230,12 @@
                 let request = &self.requests[number];
                 let command = SettleCommand {
                     account: account(),
-                    key: request.key.clone().expect("a claim"),
+                    key: request.key.clone().expect("a claimed request has a caller key"),
                     nonce: request.nonce.clone(),
                     verdict,
                 };
-                // The driver tries until it is done; here it is done at once or much later.
+                // The daemon's driver retries until the command is committed. This driver commits
+                // the command at once.
                 self.commit(ReplicatedCommand::Settle(command));
             }
             RequestCommand::Finish(outcome) => self.requests[number].outcome = Some(outcome),
@@ -241,7 +246,7 @@
         let request = &self.requests[number];
         let command = ClaimCommand {
             account: account(),
-            key: request.key.clone().expect("a claim"),
+            key: request.key.clone().expect("a claimed request has a caller key"),
             body_digest: request.body.clone(),
             nonce: request.nonce.clone(),
             entry: entry_name(request.entry),
@@ -255,8 +260,8 @@
         }
         let outcome = self.commit(ReplicatedCommand::Claim(command));
         let ApplyOutcome::Claimed(answer) = outcome else { panic!("{outcome:?}") };
-        // The commit may come about although its answer gets lost.
-        let lost = !self.calm && self.random.random_bool(0.05);
+        // The claim may be committed although its answer is lost.
+        let lost = !self.recovering && self.random.random_bool(0.05);
         let answer = (!lost).then_some(answer);
         self.post(Event::Claimed { request: number, answer }, coverage);
     }
@@ -275,19 +280,19 @@
         let attempt = grant.attempt.clone();
         let Some(prompt) = request.prompt.clone() else {
             let body = request.body.clone();
-            self.post(Event::Call { request: number, attempt, body }, coverage);
+            self.post(Event::ServiceCall { request: number, attempt, body }, coverage);
             return;
         };
-        let max_tokens = request.answer;
+        let max_tokens = request.answer_tokens;
         coverage.groups += u64::from(grant.members.len() > 1);
-        let (lead, parts) = grant.members.split_first().expect("a member");
+        let (lead, parts) = grant.members.split_first().expect("a grant has at least one member");
         for part in parts {
             let call = PartCall { attempt: attempt.clone(), reserved: part.reserved };
             self.post(Event::Part { engine: engine_of(part), call }, coverage);
         }
         let call = AttemptCall {
             attempt,
-            model: MODEL.parse().expect("a name"),
+            model: MODEL.parse().expect("valid name"),
             prompt: Arc::new(prompt),
             max_tokens,
             reserved: lead.reserved,
@@ -305,7 +310,7 @@
         let open: Vec<usize> = (0..self.requests.len())
             .filter(|n| {
                 let request = &self.requests[*n];
-                request.outcome.is_none() && !request.gone && request.key.is_none()
+                request.outcome.is_none() && !request.entry_crashed && request.key.is_none()
             })
             .collect();
         if open.is_empty() {
@@ -314,22 +319,23 @@
         let number = open[self.random.random_range(0..open.len())];
         coverage.callers_gone += 1;
         self.requests[number].caller_left = true;
-        self.requests[number].life.caller_gone();
-        self.carry_out(number, coverage);
+        self.requests[number].lifecycle.caller_gone();
+        self.execute_commands(number, coverage);
     }
 
-    /// Kills an entry with all its requests; the log learns of it and it comes back later.
-    pub fn kill_entry(&mut self, coverage: &mut Coverage) {
+    /// Crashes an entry with all its requests. Its removal is committed to the log, and the entry
+    /// joins again with a new epoch.
+    pub fn crash_entry(&mut self, coverage: &mut Coverage) {
         let entry = self.random.random_range(0..ENTRIES);
         coverage.entry_deaths += 1;
-        self.note(|| format!("entry {entry} dies"));
+        self.log(|| format!("entry {entry} crashes"));
         let epoch = LeaseEpoch(self.entry_epochs[entry]);
         for number in 0..self.requests.len() {
             let request = &mut self.requests[number];
-            if request.entry == entry && request.outcome.is_none() && !request.gone {
-                request.gone = true;
+            if request.entry == entry && request.outcome.is_none() && !request.entry_crashed {
+                request.entry_crashed = true;
                 coverage.ended_with_entry += 1;
-                // Its connections break, and engines drop what nobody reads.
+                // The entry's connections break, and engines cancel attempts that have no reader.
                 if let Some(grant) = request.grant.clone() {
                     let engine = engine_of(&grant.members[0]);
                     if self.requests[number].prompt.is_some() {
