--- a/crates/daemon/src/entry/driver.rs
+++ b/crates/daemon/src/entry/driver.rs
@@ -8,7 +8,7 @@
 use futures::future::BoxFuture;
 use oriolepass_config::{ClaimAnswer, KeptAnswer, SettleCommand};
 use oriolepass_request::{
-    AttemptRefusal, RequestCommand, RequestLife, RequestOutcome, RequestPlan, SendFailure,
+    AttemptRefusal, RequestCommand, RequestLifecycle, RequestOutcome, RequestPlan, SendFailure,
 };
 use oriolepass_scheduler::{
     GrantRequest, LengthClass, PromptGrant, ReleaseReason, WorkTarget, prefix_hashes,
@@ -120,7 +120,7 @@
 struct RequestDriver {
     shared: Arc<DaemonShared>,
     request: Arc<EntryRequest>,
-    life: RequestLife,
+    life: RequestLifecycle,
     events: mpsc::Sender<CallerEvent>,
     pending: Option<BoxFuture<'static, DriverEvent>>,
     lines: Option<LineStream>,
@@ -137,7 +137,7 @@
         events: mpsc::Sender<CallerEvent>,
     ) -> Self {
         let plan = RequestPlan { repeatable: request.claim.is_none(), deadline: request.deadline };
-        let life = RequestLife::new(plan, shared.fresh_attempt());
+        let life = RequestLifecycle::new(plan, shared.fresh_attempt());
         Self {
             claim_nonce: shared.fresh_attempt(),
             shared,
@@ -230,7 +230,7 @@
 
     fn broke(&mut self, failure: SendFailure) {
         let shared = &self.shared;
-        self.life.broke(failure, || shared.may_retry(), || shared.fresh_attempt());
+        self.life.send_failed(failure, || shared.may_retry(), || shared.fresh_attempt());
     }
 
     fn on_line(&mut self, line: Option<StreamLine>) {
@@ -256,7 +256,7 @@
                 self.pending = Some(self.send(grant, resume_from, resume_text));
             }
             RequestCommand::Deliver(text) => self.deliver(text, deadline).await,
-            RequestCommand::NoteStarted(attempt) => {
+            RequestCommand::ReportStarted(attempt) => {
                 if let Some(home) = self.home.clone() {
                     outcomes::note_started(&self.shared, home, attempt);
                 }
