--- a/crates/gateway/src/replica/mod.rs
+++ b/crates/gateway/src/replica/mod.rs
@@ -19,7 +19,7 @@
     PersistBatch,
 };
 use oriolepass_routing::{DrainRegister, RoutingText};
-use oriolepass_storage::{RecoveredLog, StorageError, SuspectTails};
+use oriolepass_storage::{RecoveredLog, StorageError, UnsyncedTails};
 use oriolepass_units::{InstanceId, LeaderTerm, LogIndex, MonotonicTime};
 use tokio::sync::mpsc::UnboundedSender;
 
@@ -123,7 +123,7 @@
     running: Option<RunningReplica>,
     reopen_at: MonotonicTime,
     /// What a failed sync has left on the disk, to be cut before it is read again.
-    suspects: SuspectTails,
+    suspects: UnsyncedTails,
     /// What the last start found, until it is taken for the log.
     recovery: Option<RecoveryNote>,
     watch: LeaderWatch,
@@ -143,7 +143,7 @@
             opened: None,
             running: None,
             reopen_at: MonotonicTime::ZERO,
-            suspects: SuspectTails::default(),
+            suspects: UnsyncedTails::default(),
             recovery: None,
             watch: LeaderWatch::default(),
         }
@@ -253,7 +253,7 @@
         let mut effects = ReplicaEffects::default();
         match report {
             StorageReport::Opened(recovered) => {
-                self.suspects = SuspectTails::default();
+                self.suspects = UnsyncedTails::default();
                 let opening = self.opening.take();
                 self.opened = opening.map(|batches| OpenedStore { recovered, batches });
                 (effects, None)
--- a/crates/gateway/src/replica/storage.rs
+++ b/crates/gateway/src/replica/storage.rs
@@ -6,7 +6,7 @@
 use std::thread::JoinHandle;
 
 use oriolepass_consensus::PersistBatch;
-use oriolepass_storage::{DiskFolder, LogStore, RecoveredLog, StorageError, SuspectTails};
+use oriolepass_storage::{DiskFolder, LogStore, RecoveredLog, StorageError, UnsyncedTails};
 use tokio::sync::mpsc::UnboundedSender;
 
 /// Batches synced together at most.
@@ -24,14 +24,14 @@
     Synced(u64),
     /// The disk failed, and the thread ends. What the disk holds is not known any more, so the
     /// replica must be read again, without what only looks durable.
-    Failed(StorageError, SuspectTails),
+    Failed(StorageError, UnsyncedTails),
 }
 
 /// What the storage thread works with.
 pub(crate) struct StorageDuty {
     pub(crate) folder: PathBuf,
     /// What a thread before this one has left on the disk and has not synced.
-    pub(crate) suspects: SuspectTails,
+    pub(crate) suspects: UnsyncedTails,
     pub(crate) batches: mpsc::Receiver<PersistBatch>,
     /// Holds at most one report a batch, and two more.
     pub(crate) reports: UnboundedSender<StorageReport>,
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -33,4 +33,4 @@
 pub use folder::DiskFolder;
 pub use record::{HardState, LogRecord, SnapshotMeta, StoredEntry};
 pub use recovery::RecoveredLog;
-pub use store::{DEFAULT_SEGMENT_BYTES, LogStore, SuspectTails};
+pub use store::{DEFAULT_SEGMENT_BYTES, LogStore, UnsyncedTails};
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -30,9 +30,9 @@
 /// and a second sync succeeds without them. Only the process that saw the failure knows how far
 /// its files were synced, so it hands that on to the next opening.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct SuspectTails(BTreeMap<String, u64>);
+pub struct UnsyncedTails(BTreeMap<String, u64>);
 
-impl SuspectTails {
+impl UnsyncedTails {
     /// Cuts each file to the length that was synced.
     fn cut(&mut self, folder: &DiskFolder) -> Result<(), StorageError> {
         if self.0.is_empty() {
@@ -74,7 +74,7 @@
         folder: DiskFolder,
         segment_bytes: u64,
     ) -> Result<(Self, RecoveredLog), StorageError> {
-        Self::open_after(folder, segment_bytes, &mut SuspectTails::default())
+        Self::open_after(folder, segment_bytes, &mut UnsyncedTails::default())
     }
 
     /// Opens the store in the process that saw it fail.
@@ -85,7 +85,7 @@
     pub fn open_after(
         folder: DiskFolder,
         segment_bytes: u64,
-        suspects: &mut SuspectTails,
+        suspects: &mut UnsyncedTails,
     ) -> Result<(Self, RecoveredLog), StorageError> {
         suspects.cut(&folder)?;
         let recovery = recovery::read(&folder)?;
@@ -108,9 +108,9 @@
     }
 
     /// Returns what may look durable and is not, once the store has failed.
-    pub fn suspect_tails(&self) -> SuspectTails {
+    pub fn suspect_tails(&self) -> UnsyncedTails {
         let newest = segment_name(self.newest_number);
-        SuspectTails(BTreeMap::from([(newest, self.newest_length)]))
+        UnsyncedTails(BTreeMap::from([(newest, self.newest_length)]))
     }
 
     /// Appends records as one frame and syncs it.
--- a/crates/storage/tests/log_store.rs
+++ b/crates/storage/tests/log_store.rs
@@ -4,7 +4,7 @@
 
 use oriolepass_storage::{
     DiskFolder, FakeDisk, HardState, LogRecord, LogStore, RecoveredLog, SnapshotMeta, StorageError,
-    StoredEntry, SuspectTails,
+    StoredEntry, UnsyncedTails,
 };
 use oriolepass_units::{LeaderTerm, LogIndex};
 use rand::rngs::StdRng;
@@ -30,7 +30,7 @@
 
 fn reopen(
     disk: &FakeDisk,
-    suspects: &mut SuspectTails,
+    suspects: &mut UnsyncedTails,
 ) -> Result<(LogStore, RecoveredLog), StorageError> {
     LogStore::open_after(DiskFolder::fake(disk.clone()), SMALL_SEGMENT, suspects)
 }
