--- a/crates/gateway/src/replica/storage.rs
+++ b/crates/gateway/src/replica/storage.rs
@@ -77,7 +77,7 @@
                 group.push(next);
             }
             if let Err(error) = PersistBatch::write_group(&mut store, &group) {
-                self.report(StorageReport::Failed(error, store.suspect_tails()));
+                self.report(StorageReport::Failed(error, store.unsynced_tails()));
                 return;
             }
             let last = group.last().map_or(0, |batch| batch.sequence);
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -108,7 +108,7 @@
     }
 
     /// Returns what may look durable and is not, once the store has failed.
-    pub fn suspect_tails(&self) -> UnsyncedTails {
+    pub fn unsynced_tails(&self) -> UnsyncedTails {
         let newest = segment_name(self.newest_number);
         UnsyncedTails(BTreeMap::from([(newest, self.newest_length)]))
     }
--- a/crates/storage/tests/log_store.rs
+++ b/crates/storage/tests/log_store.rs
@@ -306,7 +306,7 @@
         let (disk, mut store) = with_one_entry();
         disk.fail_after(1);
         store.append(&[entry(2, 3)]).expect_err("the sync failed");
-        let mut suspects = store.suspect_tails();
+        let mut suspects = store.unsynced_tails();
         reopen(&disk, &mut suspects).expect_err("the disk still fails");
         disk.work_again();
         let (mut store, log) = reopen(&disk, &mut suspects).expect("the disk works again");
@@ -322,7 +322,7 @@
 fn a_segment_whose_first_sync_failed_is_not_built_on() {
     for (seed, operations) in (0..50).zip([1, 2, 3].into_iter().cycle()) {
         let (disk, store) = with_one_entry();
-        let mut suspects = store.suspect_tails();
+        let mut suspects = store.unsynced_tails();
         for _ in 0..2 {
             disk.fail_after(operations);
             reopen(&disk, &mut suspects).expect_err("the disk fails");
