--- a/crates/gateway/src/replica/storage.rs
+++ b/crates/gateway/src/replica/storage.rs
@@ -48,8 +48,9 @@
     }
 
     fn run(mut self) {
-        let opened = DiskFolder::open(&self.folder)
-            .and_then(|folder| LogStore::open_after(folder, SEGMENT_BYTES, &mut self.suspects));
+        let opened = DiskFolder::open(&self.folder).and_then(|folder| {
+            LogStore::open_after_failure(folder, SEGMENT_BYTES, &mut self.suspects)
+        });
         match opened {
             Ok((store, recovered)) => {
                 if self.report(StorageReport::Opened(recovered)) {
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -74,7 +74,7 @@
         folder: DiskFolder,
         segment_bytes: u64,
     ) -> Result<(Self, RecoveredLog), StorageError> {
-        Self::open_after(folder, segment_bytes, &mut UnsyncedTails::default())
+        Self::open_after_failure(folder, segment_bytes, &mut UnsyncedTails::default())
     }
 
     /// Opens the store in the process that saw it fail.
@@ -82,7 +82,7 @@
     /// # Errors
     ///
     /// As [`LogStore::open`]; `suspects` then says what a later try has to cut.
-    pub fn open_after(
+    pub fn open_after_failure(
         folder: DiskFolder,
         segment_bytes: u64,
         suspects: &mut UnsyncedTails,
--- a/crates/storage/tests/log_store.rs
+++ b/crates/storage/tests/log_store.rs
@@ -32,7 +32,7 @@
     disk: &FakeDisk,
     suspects: &mut UnsyncedTails,
 ) -> Result<(LogStore, RecoveredLog), StorageError> {
-    LogStore::open_after(DiskFolder::fake(disk.clone()), SMALL_SEGMENT, suspects)
+    LogStore::open_after_failure(DiskFolder::fake(disk.clone()), SMALL_SEGMENT, suspects)
 }
 
 fn after_loss_of_power(disk: &FakeDisk, seed: u64) -> RecoveredLog {
