--- a/crates/config/src/apply.rs
+++ b/crates/config/src/apply.rs
@@ -12,7 +12,7 @@
 use crate::state::ReplicatedState;
 use crate::view::{StoredObject, ViewChange};
 
-/// The team that bootstrap creates.
+/// Name of the team that bootstrap creates.
 const ROOT_TEAM: &str = "root";
 
 impl ReplicatedState {
@@ -24,11 +24,11 @@
     ) -> ApplyOutcome {
         let ChangeCommand { team, call } = command;
         let reply = match self.resends.lookup(team, call) {
-            // A resend is no new event: it changes nothing and leaves no second audit record.
-            Some(kept) => kept,
+            // A resend changes nothing and adds no second audit record.
+            Some(reply) => reply,
             None => {
                 let reply = self.change_objects(index, unix_ms, command);
-                self.resends.keep(team, call, reply.clone());
+                self.resends.record(team, call, reply.clone());
                 reply
             }
         };
@@ -44,8 +44,8 @@
         unix_ms: u64,
         root_key: &KeyHash,
     ) -> ApplyOutcome {
-        // Every new leader proposes this when its state looks empty, so a second one may arrive
-        // after operators have already replaced the root team's key.
+        // Every new leader proposes a bootstrap while its applied state has no team. A second
+        // bootstrap may therefore be applied after operators have replaced the root team's key.
         if self.view.objects.keys().any(|(kind, _)| *kind == ObjectKind::Team) {
             return ApplyOutcome::Done;
         }
@@ -62,7 +62,7 @@
             actor: ROOT_TEAM.to_owned(),
             action: "bootstrap".to_owned(),
             before: String::new(),
-            after: describe(Some(&object)),
+            after: object_json(Some(&object)),
             verdict: "accepted".to_owned(),
             reason: String::new(),
         };
@@ -97,8 +97,8 @@
         let draft = AuditDraft {
             actor: team.to_string(),
             action: format!("change {kind} {} ({})", call.name, call.change_id),
-            before: describe(before.as_ref()),
-            after: describe(after.as_ref()),
+            before: object_json(before.as_ref()),
+            after: object_json(after.as_ref()),
             verdict: match &verdict {
                 Ok(()) => "accepted".to_owned(),
                 Err(error) => error.code.to_string(),
@@ -126,9 +126,9 @@
                 if before.as_ref().is_some_and(|present| present.epoch == epoch) {
                     return ApplyOutcome::Member(epoch);
                 }
-                // The earlier start of this daemon can settle nothing any more.
+                // The previous run of this daemon can no longer settle its claims.
                 if let Some(before) = before {
-                    self.claims.entry_gone(&before.instance, before.epoch);
+                    self.claims.mark_unknown(&before.instance, before.epoch);
                 }
                 let joined = self.view.members.get(&record.instance).expect("joined").clone();
                 self.change_view(index, self.view.config_revision, ViewChange::Member(joined));
@@ -148,7 +148,7 @@
             }
             MemberCommand::Remove { instance, epoch } => {
                 if self.view.members.get(instance).is_some_and(|m| m.epoch == *epoch) {
-                    self.claims.entry_gone(instance, *epoch);
+                    self.claims.mark_unknown(instance, *epoch);
                     let gone = ViewChange::MemberGone(instance.clone());
                     self.change_view(index, self.view.config_revision, gone);
                     self.audit_member(unix_ms, instance, &format!("lease {epoch} ended"));
@@ -171,7 +171,8 @@
     }
 }
 
-fn describe(object: Option<&StoredObject>) -> String {
+/// Returns an object as JSON for the audit trail, or an empty string for an absent object.
+fn object_json(object: Option<&StoredObject>) -> String {
     object.map_or_else(String::new, |object| {
         serde_json::to_string(object).expect("an object always serialises")
     })
--- a/crates/config/src/audit.rs
+++ b/crates/config/src/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail: who changed what, chained by hashes.
+//! Implements the audit trail: a hash chain of records that name the actor and the change.
 
 use std::collections::VecDeque;
 
@@ -6,11 +6,12 @@
 use oriolepass_units::ObjectRevision;
 use serde::{Deserialize, Serialize};
 
-/// Records kept; at 16,000 changes a day this is more than a day, so they are to be exported
-/// (`oriolepass audit`) at least daily where they must be kept for longer.
-pub const AUDIT_RETAINED: usize = 20_000;
+/// Maximum number of retained records. At 16,000 changes a day they cover more than one day.
+/// Where records must be kept for longer, operators export them (`oriolepass audit`) at least
+/// daily.
+pub const MAX_AUDIT_RECORDS: usize = 20_000;
 
-/// What an audit record says, before it has its place in the chain.
+/// Content of an audit record before it gets its sequence number and hash.
 pub(crate) struct AuditDraft {
     pub(crate) actor: String,
     pub(crate) action: String,
@@ -20,7 +21,7 @@
     pub(crate) reason: String,
 }
 
-/// The latest records, with the hash that comes before the first of them.
+/// The latest records and the anchor: the hash of the record before the first retained one.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct AuditTrail {
     anchor: String,
@@ -29,6 +30,7 @@
 }
 
 impl AuditTrail {
+    /// Appends a record to the chain and evicts the oldest one above [`MAX_AUDIT_RECORDS`].
     pub(crate) fn append(
         &mut self,
         unix_ms: u64,
@@ -50,13 +52,13 @@
         };
         record.hash = record.expected_hash(self.last_hash());
         self.records.push_back(record);
-        if self.records.len() > AUDIT_RETAINED {
-            let oldest = self.records.pop_front().expect("more than none");
+        if self.records.len() > MAX_AUDIT_RECORDS {
+            let oldest = self.records.pop_front().expect("the trail is not empty");
             self.anchor = oldest.hash;
         }
     }
 
-    /// Returns the records after a sequence number, at most `limit` of them.
+    /// Returns up to `limit` records that follow the sequence number `after`.
     pub(crate) fn view(&self, after: u64, limit: usize) -> AuditTrailView {
         let skipped = self.records.iter().take_while(|r| r.sequence <= after).count();
         let anchor = match skipped.checked_sub(1) {
--- a/crates/config/src/claims.rs
+++ b/crates/config/src/claims.rs
@@ -1,8 +1,9 @@
-//! Claims of non-repeatable requests: the record that makes "at most once" true.
+//! Tracks claims of non-repeatable requests, which give at-most-once execution.
 //!
-//! An entry instance sends a non-repeatable request only after its claim is committed, and each
-//! (account, caller key) has one claim. A claim is freed for another run only by the word of
-//! the entry that holds it that not one byte left.
+//! The entry instance is the daemon that accepted the request from the caller. It sends a
+//! non-repeatable request only after the request's claim is committed. Each pair of account and
+//! caller key has at most one claim. A claim is released for another run only when the entry
+//! instance that holds it reports that it sent no byte of the request.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,56 +12,57 @@
 
 use crate::command::{ClaimCommand, ClaimVerdict, SettleCommand};
 
-/// How long a claim is kept after its request's time ended: a day.
+/// Retention period of a claim after the deadline of its request: 24 hours.
 pub const CLAIM_RETENTION_MS: u64 = 24 * 60 * 60 * 1000;
 
-/// How long after its time a running claim counts as unknown: clocks differ and settling lags.
+/// Grace period after the deadline before a running claim counts as unknown. It covers clock
+/// differences and the delay of settling.
 pub const CLAIM_GRACE_MS: u64 = 5_000;
 
-/// The most claims kept. Beyond it, new ones are refused: forgetting one early could let its
-/// request run twice.
+/// Maximum number of retained claims. New claims above it are refused, because evicting a claim
+/// early could let its request run twice.
 pub const MAX_CLAIMS: usize = 200_000;
 
-/// The longest answer kept for resends, in bytes.
+/// Maximum size of an answer body retained for resends, in bytes.
 pub const MAX_KEPT_BYTES: usize = 32 * 1024;
 
-/// An answer kept for resends.
+/// An answer retained for resends.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptAnswer {
-    /// The status of a plain service's answer; 200 for a model's.
+    /// The HTTP status of a service's answer; 200 for the answer of a model.
     pub status: u16,
     /// The answer's content type.
     pub content_type: String,
-    /// The answer; absent where it was longer than [`MAX_KEPT_BYTES`].
+    /// The body; absent if it was longer than [`MAX_KEPT_BYTES`].
     pub body: Option<Vec<u8>>,
 }
 
 impl KeptAnswer {
-    /// Creates a record of an answer, leaving out a body that is too long to keep.
+    /// Creates a record of an answer, without the body if it exceeds [`MAX_KEPT_BYTES`].
     pub fn new(status: u16, content_type: String, body: &[u8]) -> Self {
         let body = (body.len() <= MAX_KEPT_BYTES).then(|| body.to_vec());
         Self { status, content_type, body }
     }
 }
 
-/// What a claim answers.
+/// The result of claiming a request or settling a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimAnswer {
-    /// The claimant may send the request, once.
+    /// The claimant may send the request once; for a settled claim, the claim is released.
     Granted,
-    /// It ran before; this is the answer.
+    /// The request has run; this is its answer.
     Done(KeptAnswer),
-    /// It is still running.
+    /// The request is still running.
     StillRunning,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// The key names another request.
+    /// The caller key was used with a different request body.
     OtherBody,
-    /// Too many claims are kept.
+    /// The table holds [`MAX_CLAIMS`] claims.
     Full,
-    /// The claimant's lease ended; it must join again first.
+    /// The claimant's lease has ended; it must join again before it can claim.
     StaleEntry,
-    /// There is no such claim to settle.
+    /// The claim to settle does not exist.
     NoClaim,
 }
 
@@ -83,7 +85,7 @@
 
 type ClaimKey = (AccountId, CallerKey);
 
-/// All claims that are kept.
+/// All retained claims.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ClaimTable {
     records: BTreeMap<ClaimKey, ClaimRecord>,
@@ -91,11 +93,12 @@
 }
 
 impl ClaimTable {
+    /// Claims a request, or returns the state of its present claim.
     pub(crate) fn claim(&mut self, command: &ClaimCommand, unix_ms: u64) -> ClaimAnswer {
-        self.forget_old(unix_ms);
+        self.evict_expired(unix_ms);
         let key = (command.account.clone(), command.key.clone());
         if let Some(record) = self.records.get(&key) {
-            return Self::answer_again(record, command, unix_ms);
+            return Self::answer_repeated_claim(record, command, unix_ms);
         }
         if self.records.len() >= MAX_CLAIMS {
             return ClaimAnswer::Full;
@@ -113,15 +116,19 @@
         ClaimAnswer::Granted
     }
 
-    fn answer_again(record: &ClaimRecord, command: &ClaimCommand, unix_ms: u64) -> ClaimAnswer {
+    fn answer_repeated_claim(
+        record: &ClaimRecord,
+        command: &ClaimCommand,
+        unix_ms: u64,
+    ) -> ClaimAnswer {
         if record.body_digest != command.body_digest {
             return ClaimAnswer::OtherBody;
         }
         match &record.state {
             ClaimState::Done(answer) => ClaimAnswer::Done(answer.clone()),
             ClaimState::Unknown => ClaimAnswer::Unknown,
-            // The claimant itself asks again because it lost the answer to its proposal. It has
-            // not sent anything yet: it sends only after it has seen this answer.
+            // The claimant repeats its proposal because it lost the answer. It has not sent the
+            // request yet, because it sends only after it has received this answer.
             ClaimState::Running if record.nonce == command.nonce => ClaimAnswer::Granted,
             ClaimState::Running if unix_ms > record.due_ms.saturating_add(CLAIM_GRACE_MS) => {
                 ClaimAnswer::Unknown
@@ -130,13 +137,14 @@
         }
     }
 
+    /// Records the outcome of a claimed request.
     pub(crate) fn settle(&mut self, command: &SettleCommand) -> ClaimAnswer {
         let key = (command.account.clone(), command.key.clone());
         let Some(record) = self.records.get_mut(&key).filter(|r| r.nonce == command.nonce) else {
             return ClaimAnswer::NoClaim;
         };
-        // Only the one entry that held the claim settles it, so its word may also replace an
-        // `Unknown` that was recorded when its lease ended. A `Done` is final.
+        // Only the entry instance that holds the claim settles it, so its verdict may also replace
+        // an `Unknown` that was recorded when its lease ended. `Done` is final.
         if let ClaimState::Done(answer) = &record.state {
             return ClaimAnswer::Done(answer.clone());
         }
@@ -158,8 +166,8 @@
         }
     }
 
-    /// Marks what an entry held as unknown, after its lease ended.
-    pub(crate) fn entry_gone(&mut self, entry: &InstanceId, epoch: LeaseEpoch) {
+    /// Marks the running claims of an entry instance as unknown after its lease `epoch` ended.
+    pub(crate) fn mark_unknown(&mut self, entry: &InstanceId, epoch: LeaseEpoch) {
         self.records
             .values_mut()
             .filter(|r| r.entry == *entry && r.epoch <= epoch && r.state == ClaimState::Running)
@@ -170,9 +178,11 @@
         self.records.len()
     }
 
-    fn forget_old(&mut self, unix_ms: u64) {
-        let horizon = unix_ms.saturating_sub(CLAIM_RETENTION_MS);
-        while let Some((due, key)) = self.by_due.first().filter(|(due, _)| *due < horizon).cloned()
+    /// Evicts claims whose retention period has ended.
+    fn evict_expired(&mut self, unix_ms: u64) {
+        let cutoff_ms = unix_ms.saturating_sub(CLAIM_RETENTION_MS);
+        while let Some((due, key)) =
+            self.by_due.first().filter(|(due, _)| *due < cutoff_ms).cloned()
         {
             self.by_due.remove(&(due, key.clone()));
             self.records.remove(&key);
--- a/crates/config/src/command.rs
+++ b/crates/config/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands of the replicated log and what applying them answers.
+//! Defines the commands of the replicated log and the outcomes of applying them.
 
 use oriolepass_schema::error::ApiError;
 use oriolepass_schema::operator::{ChangeAnswer, ChangeCall, KeyHash};
@@ -8,42 +8,42 @@
 use crate::claims::{ClaimAnswer, KeptAnswer};
 use crate::members::MemberRecord;
 
-/// A change of the configuration with the team that asks for it.
+/// A configuration change with the team that requests it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeCommand {
-    /// The team, as its key proved.
+    /// The team, authenticated by its key.
     pub team: TeamId,
     /// The change.
     pub call: ChangeCall,
 }
 
-/// Claims the one run of a non-repeatable request.
+/// Claims the single run of a non-repeatable request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimCommand {
     /// The account.
     pub account: AccountId,
     /// The caller's name for the request.
     pub key: CallerKey,
-    /// SHA-256 of the request's content.
+    /// SHA-256 digest of the request's content.
     pub body_digest: String,
-    /// Tells this claim from every other, so that proposing it twice is harmless.
+    /// Unique id of this claim, which makes a repeated proposal idempotent.
     pub nonce: AttemptId,
     /// The entry instance that will send the request.
     pub entry: InstanceId,
-    /// The entry's lease.
+    /// The lease of the entry instance.
     pub epoch: LeaseEpoch,
-    /// The time that the request may take, in milliseconds.
+    /// The time allowed for the request, in milliseconds.
     pub allowed_ms: u64,
 }
 
 /// How a claimed request ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimVerdict {
-    /// It ran, and this is its answer.
+    /// The request ran; this is its answer.
     Done(KeptAnswer),
-    /// It did not run; the key is free again.
+    /// The request did not run; the caller key is released.
     NotRun,
-    /// It cannot be told.
+    /// Whether the request ran is not known.
     Unknown,
 }
 
@@ -56,22 +56,22 @@
     pub key: CallerKey,
     /// The claim's nonce.
     pub nonce: AttemptId,
-    /// How it ended.
+    /// How the request ended.
     pub verdict: ClaimVerdict,
 }
 
 /// A change of the membership.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberCommand {
-    /// An instance joins, or joins again after its lease ended.
+    /// An instance joins, or rejoins after its lease ended.
     Join(MemberRecord),
-    /// An instance is to leave gracefully.
+    /// An instance starts to drain before it leaves.
     Drain(InstanceId),
     /// The lease of an instance ended.
     Remove {
         /// The instance.
         instance: InstanceId,
-        /// The lease that ended; a later one is left alone.
+        /// The lease that ended; a member with another lease is not removed.
         epoch: LeaseEpoch,
     },
 }
@@ -79,20 +79,21 @@
 /// A command of the replicated log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReplicatedCommand {
-    /// Nothing; a new leader commits one to learn what is committed.
+    /// Changes nothing; a new leader commits a no-op to determine the commit index.
     Noop,
-    /// Create the first team, which may create all others; refused once there is a team.
+    /// Creates the first team, an admin team that can create the others; has no effect once a
+    /// team exists.
     Bootstrap {
-        /// The hash of its key.
+        /// The hash of the team's key.
         root_key: KeyHash,
     },
-    /// Change the configuration.
+    /// Changes the configuration.
     Change(ChangeCommand),
-    /// Claim a request.
+    /// Claims a request.
     Claim(ClaimCommand),
-    /// Settle a claim.
+    /// Settles a claim.
     Settle(SettleCommand),
-    /// Change the membership.
+    /// Changes the membership.
     Member(MemberCommand),
 }
 
@@ -105,12 +106,12 @@
     pub command: ReplicatedCommand,
 }
 
-/// What applying a command answers.
+/// The outcome of applying a command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ApplyOutcome {
-    /// Nothing to say.
+    /// The command was applied and has no result.
     Done,
-    /// The change was accepted, now or by an earlier call with the same id.
+    /// The change was accepted, either now or by an earlier call with the same change id.
     Changed(ChangeAnswer),
     /// The command was refused.
     Refused(ApiError),
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,14 +1,14 @@
-//! The replicated state: everything that must survive the loss of instances.
+//! Implements the replicated state machine: all state that must survive the loss of instances.
 //!
-//! The replicated log hands [`ReplicatedState::apply`] one [`ReplicatedCommand`] after another,
-//! on every voter in the same order. Applying is deterministic: no clock, no random source, no
-//! iteration over unordered maps. What a command needs to know of time, the leader stamped into
-//! it when it was proposed.
+//! The replicated log passes each [`ReplicatedCommand`] to [`ReplicatedState::apply`], on every
+//! voter in the same order. Applying is deterministic: it reads no clock and no random source and
+//! iterates over no unordered map. Commands that depend on time carry a timestamp, which the
+//! leader sets when it proposes them.
 //!
-//! The state has two halves. [`ConfigView`] is what every daemon needs to serve requests:
-//! configuration objects and members. Daemons without a disk follow it by [`ViewDelta`]s. The
-//! rest stays on the voters: the resend table, the claims of non-repeatable requests and the
-//! audit trail.
+//! The state has two parts. [`ConfigView`] holds the configuration objects and the members, which
+//! every daemon needs to serve requests. Daemons without a disk replicate it through
+//! [`ViewDelta`]s. The resend table, the claims of non-repeatable requests and the audit trail
+//! are held by the voters only.
 
 mod apply;
 mod audit;
@@ -20,7 +20,7 @@
 mod state;
 mod view;
 
-pub use audit::AUDIT_RETAINED;
+pub use audit::MAX_AUDIT_RECORDS;
 pub use claims::{
     CLAIM_GRACE_MS, CLAIM_RETENTION_MS, ClaimAnswer, KeptAnswer, MAX_CLAIMS, MAX_KEPT_BYTES,
 };
@@ -29,6 +29,6 @@
     SettleCommand, StampedCommand,
 };
 pub use members::{MemberAddresses, MemberRecord, MemberTable, shard_of};
-pub use resend::RESENDS_RETAINED;
+pub use resend::MAX_RETAINED_REPLIES;
 pub use state::{ReplicatedState, SnapshotError};
 pub use view::{ConfigView, KeyOwner, StoredObject, ViewChange, ViewDelta};
--- a/crates/config/src/members.rs
+++ b/crates/config/src/members.rs
@@ -1,4 +1,7 @@
-//! The instances that run daemons, each with a lease.
+//! Maintains the table of members: the instances that run a daemon, each with a lease.
+//!
+//! The endpoints of a data centre are divided into shards. The home of a shard is the member that
+//! is responsible for it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,44 +9,45 @@
 use oriolepass_units::{DataCentreId, EndpointId, InstanceId, LeaseEpoch, ShardId};
 use serde::{Deserialize, Serialize};
 
-/// Where a daemon listens.
+/// The listen addresses of a daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberAddresses {
-    /// For callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// For operators.
+    /// Address for operators.
     pub operators: SocketAddr,
-    /// For endpoints.
+    /// Address for endpoints.
     pub endpoints: SocketAddr,
-    /// For other daemons.
+    /// Address for other daemons.
     pub peers: SocketAddr,
 }
 
-/// A member.
+/// A member of the cluster.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
     /// The instance.
     pub instance: InstanceId,
     /// Its data centre.
     pub data_centre: DataCentreId,
-    /// Tells one start of the daemon from the next.
+    /// Identifies the start of the daemon; a restarted daemon has another value.
     pub boot: u64,
-    /// Its lease; the table sets it.
+    /// Its lease, which [`MemberTable`] assigns.
     pub epoch: LeaseEpoch,
-    /// Whether it is to leave.
+    /// Whether it drains before it leaves.
     pub draining: bool,
-    /// Where it listens.
+    /// Its listen addresses.
     pub addresses: MemberAddresses,
 }
 
 impl MemberRecord {
-    /// Returns whether `other` is the same start of the same daemon, which keeps its lease.
+    /// Returns whether `other` describes the same start of this daemon. In that case the daemon
+    /// keeps its lease.
     pub fn is_same_start(&self, other: &Self) -> bool {
         self.boot == other.boot && self.addresses == other.addresses
     }
 }
 
-/// The members and the count of leases granted so far.
+/// The members and the epoch of the last lease granted.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberTable {
     pub(crate) members: BTreeMap<InstanceId, MemberRecord>,
@@ -61,10 +65,10 @@
         self.members.values()
     }
 
-    /// Returns the home of a shard: the member of its data centre with the highest weight,
-    /// or of all members where that data centre has none left.
+    /// Returns the home of a shard: the non-draining member with the highest rendezvous weight
+    /// in the data centre, or among all data centres if this one has no such member.
     ///
-    /// Every daemon with the same table computes the same home, and a member that comes or goes
+    /// Every daemon with the same table computes the same home. A member that joins or leaves
     /// moves only the shards that it gains or loses.
     pub fn home(&self, data_centre: &DataCentreId, shard: &ShardId) -> Option<&MemberRecord> {
         let candidates = || self.iter().filter(|m| !m.draining);
@@ -75,7 +79,8 @@
             .or_else(|| candidates().max_by_key(weight))
     }
 
-    /// Takes a member in. One that is known by the same start keeps its lease.
+    /// Adds a member and returns its lease. A member that is already present with the same start
+    /// keeps its lease.
     pub(crate) fn join(&mut self, record: &MemberRecord) -> LeaseEpoch {
         let present = self.members.get(&record.instance);
         if let Some(present) = present.filter(|present| present.is_same_start(record)) {
@@ -88,7 +93,7 @@
     }
 }
 
-/// Returns the shard of an endpoint: one of `shards` in its data centre.
+/// Returns the shard of an endpoint among the `shards` shards of its data centre.
 ///
 /// # Panics
 ///
@@ -100,12 +105,13 @@
     let digest = Sha256::digest(endpoint.as_str());
     let number = u32::from_le_bytes(digest[..4].try_into().expect("4 of 32 bytes"));
     format!("{data_centre}:{}", number % shards).parse().unwrap_or_else(|_| {
-        // A data centre's name of the greatest length leaves no room for the number.
-        data_centre.as_str().parse().expect("an id is an id")
+        // A data centre name of the maximum length leaves no room for the shard number.
+        data_centre.as_str().parse().expect("a data centre id is a valid shard id")
     })
 }
 
-/// Weighs an instance for a shard; the same on every build and machine.
+/// Computes the rendezvous-hashing weight of an instance for a shard. The weight is the same on
+/// every build and machine.
 fn rendezvous_weight(instance: &InstanceId, shard: &ShardId) -> [u8; 16] {
     use sha2::{Digest, Sha256};
 
--- a/crates/config/src/resend.rs
+++ b/crates/config/src/resend.rs
@@ -1,4 +1,4 @@
-//! Remembers the answers to changes, so that a resend gets the first one back.
+//! Retains the answers to changes, so that a resent change gets its first answer again.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,8 +7,8 @@
 use oriolepass_units::{ChangeId, TeamId};
 use serde::{Deserialize, Serialize};
 
-/// Answers kept; at 16,000 changes a day this is three days.
-pub const RESENDS_RETAINED: usize = 50_000;
+/// Maximum number of retained answers. At 16,000 changes a day they cover three days.
+pub const MAX_RETAINED_REPLIES: usize = 50_000;
 
 type ResendKey = (TeamId, ChangeId);
 
@@ -20,8 +20,8 @@
 
 /// The answers to the latest changes of each team, by change id.
 ///
-/// Refusals are kept too. Without them, a resend of a refused change could be accepted later,
-/// after the operator was told that it had failed and had acted on that.
+/// Refusals are retained too. Otherwise a resend of a refused change could be accepted later,
+/// after the operator received the refusal and acted on it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ResendTable {
     replies: BTreeMap<ResendKey, KeptReply>,
@@ -29,7 +29,8 @@
 }
 
 impl ResendTable {
-    /// Returns the first answer to a change, or a refusal if its id named another change.
+    /// Returns the first answer to a change, or a refusal if the team used its change id for
+    /// another change.
     pub(crate) fn lookup(
         &self,
         team: &TeamId,
@@ -43,8 +44,8 @@
         Some(Err(ApiError::not_run(ErrorCode::ChangeIdReused, detail)))
     }
 
-    /// Keeps an answer, and forgets the oldest one when there are too many.
-    pub(crate) fn keep(
+    /// Records an answer and evicts the oldest one above [`MAX_RETAINED_REPLIES`].
+    pub(crate) fn record(
         &mut self,
         team: &TeamId,
         call: &ChangeCall,
@@ -53,18 +54,19 @@
         let key = (team.clone(), call.change_id.clone());
         self.replies.insert(key.clone(), KeptReply { content: fingerprint(call), reply });
         self.order.push_back(key);
-        if self.order.len() > RESENDS_RETAINED {
-            let oldest = self.order.pop_front().expect("more than none");
+        if self.order.len() > MAX_RETAINED_REPLIES {
+            let oldest = self.order.pop_front().expect("the queue is not empty");
             self.replies.remove(&oldest);
         }
     }
 
-    /// Returns the number of answers kept.
+    /// Returns the number of retained answers.
     pub(crate) fn len(&self) -> usize {
         self.order.len()
     }
 }
 
+/// Computes a digest of the call, which detects a change id that is reused for another change.
 fn fingerprint(call: &ChangeCall) -> [u8; 16] {
     use sha2::{Digest, Sha256};
 
--- a/crates/config/src/rights.rs
+++ b/crates/config/src/rights.rs
@@ -1,4 +1,4 @@
-//! What a change must satisfy before it is applied.
+//! Validates configuration changes: form, ownership, revision and keys.
 
 use oriolepass_schema::error::{ApiError, ErrorCode};
 use oriolepass_schema::operator::{
@@ -8,9 +8,13 @@
 
 use crate::view::{ConfigView, StoredObject};
 
-/// Checks a change against the present view.
+/// Checks a change against the current view.
+///
+/// # Errors
+///
+/// Returns the refusal that is sent to the operator.
 pub(crate) fn check(view: &ConfigView, team: &TeamId, call: &ChangeCall) -> Result<(), ApiError> {
-    check_form(call)?;
+    check_well_formed(call)?;
     let present = view.object(call.action.kind(), &call.name);
     check_owner(view, team, call, present)?;
     check_revision(call, present)?;
@@ -26,7 +30,7 @@
     ApiError::not_run(ErrorCode::Forbidden, detail)
 }
 
-fn check_form(call: &ChangeCall) -> Result<(), ApiError> {
+fn check_well_formed(call: &ChangeCall) -> Result<(), ApiError> {
     call.name.parse::<TeamId>().map_err(|error| malformed(format!("the name: {error}")))?;
     let ChangeAction::Put(spec) = &call.action else { return Ok(()) };
     if spec.keys().len() > MAX_KEYS {
@@ -52,7 +56,7 @@
     call: &ChangeCall,
     present: Option<&StoredObject>,
 ) -> Result<(), ApiError> {
-    // A team that was removed while its command was on the way has no rights left.
+    // The team may have been removed after the command was proposed and before it is applied.
     if view.object(ObjectKind::Team, team.as_str()).is_none() {
         return Err(forbidden(format!("team {team} does not exist")));
     }
@@ -74,8 +78,9 @@
     let own = call.name == team.as_str();
     match &call.action {
         _ if view.is_admin(team) && !own => Ok(()),
-        // A team rotates its own keys. It neither promotes nor removes itself: an admin team
-        // that dropped its own rights by mistake could lock everybody out.
+        // A team may rotate its own keys, but may not change its own admin right or remove
+        // itself: an admin team that dropped its own rights by mistake could lock out all
+        // operators.
         ChangeAction::Put(ObjectSpec::Team(spec)) if own => {
             if spec.admin != view.is_admin(team) {
                 return Err(forbidden("a team cannot change its own admin right"));
--- a/crates/config/src/state.rs
+++ b/crates/config/src/state.rs
@@ -1,4 +1,4 @@
-//! The whole replicated state, its snapshots and the deltas for followers.
+//! Defines the replicated state, its snapshots and the deltas for followers.
 
 use std::collections::VecDeque;
 
@@ -13,10 +13,11 @@
 use crate::resend::ResendTable;
 use crate::view::{ConfigView, ViewChange, ViewDelta};
 
-/// Deltas kept for followers; one that has missed more starts from a whole view.
-const DELTAS_RETAINED: usize = 1_024;
+/// Maximum number of deltas retained for followers. A follower that lags by more takes the whole
+/// view.
+const MAX_RETAINED_DELTAS: usize = 1_024;
 
-/// A snapshot that cannot be read.
+/// The error of decoding a snapshot.
 #[derive(Debug, Error)]
 #[error(
     "the snapshot cannot be decoded ({0}); it was written by an incompatible version: start this \
@@ -24,7 +25,7 @@
 )]
 pub struct SnapshotError(#[from] postcard::Error);
 
-/// Everything that the replicated log decides.
+/// The state machine of the replicated log.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicatedState {
     applied: LogIndex,
@@ -38,17 +39,21 @@
 }
 
 impl ReplicatedState {
-    /// Applies the next entry of the log.
+    /// Applies the next log entry.
     ///
     /// # Panics
     ///
-    /// Panics when `index` does not follow the last one applied: an entry applied twice or left
-    /// out would make this replica differ from the others for ever.
+    /// Panics if `index` does not directly follow the last applied index. An entry applied twice
+    /// or skipped would make this replica diverge permanently from the others.
     pub fn apply(&mut self, index: LogIndex, stamped: &StampedCommand) -> ApplyOutcome {
-        assert_eq!(index, self.applied.next(), "log entries are applied in order, each once");
+        assert_eq!(
+            index,
+            self.applied.next(),
+            "log entries must be applied in order, each exactly once"
+        );
         self.applied = index;
-        // A new leader's clock may lie behind the old one's. Time in the state never goes back,
-        // or a claim that was forgotten could seem young again.
+        // A new leader's clock may be behind the clock of the previous leader. The time in the
+        // state must not decrease, or an expired claim could count as unexpired again.
         self.unix_ms = self.unix_ms.max(stamped.unix_ms);
         let unix_ms = self.unix_ms;
         match &stamped.command {
@@ -71,56 +76,57 @@
         }
     }
 
-    /// Returns the index of the last entry applied.
+    /// Returns the index of the last applied entry.
     pub fn applied(&self) -> LogIndex {
         self.applied
     }
 
-    /// Returns the half of the state that every daemon holds.
+    /// Returns the part of the state that every daemon holds.
     pub fn view(&self) -> &ConfigView {
         &self.view
     }
 
-    /// Returns audit records after a sequence number, at most `limit` of them.
+    /// Returns up to `limit` audit records that follow the sequence number `after`.
     pub fn audit(&self, after: u64, limit: usize) -> AuditTrailView {
         self.audit.view(after, limit)
     }
 
-    /// Returns the number of claims kept.
+    /// Returns the number of retained claims.
     pub fn claim_count(&self) -> usize {
         self.claims.len()
     }
 
-    /// Returns the number of answers kept for resends.
+    /// Returns the number of answers retained for resends.
     pub fn resend_count(&self) -> usize {
         self.resends.len()
     }
 
-    /// Returns the deltas after `have`, or none where a follower must take the whole view.
+    /// Returns the deltas after index `have`, or `None` if the follower must take the whole view.
     pub fn deltas_after(&self, have: LogIndex) -> Option<Vec<ViewDelta>> {
         if have >= self.view.index {
             return Some(Vec::new());
         }
-        // A follower needs every delta after its own. Only if one at or before its index is
-        // still here is it certain that none in between was dropped.
+        // A follower needs every delta after its index. If a delta at or before that index is
+        // retained, no delta in between has been evicted.
         let complete = self.deltas.front().is_some_and(|oldest| oldest.index <= have);
         complete.then(|| self.deltas.iter().filter(|d| d.index > have).cloned().collect())
     }
 
-    /// Encodes the state.
+    /// Encodes the state as a snapshot.
     pub fn to_snapshot(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("the state always serialises")
     }
 
-    /// Decodes a state.
+    /// Decodes the state from a snapshot.
     ///
     /// # Errors
     ///
-    /// Returns an error when the bytes are no snapshot of this version.
+    /// Returns an error if the bytes are not a snapshot of this version.
     pub fn from_snapshot(bytes: &[u8]) -> Result<Self, SnapshotError> {
         Ok(postcard::from_bytes(bytes)?)
     }
 
+    /// Applies a change to the view and retains its delta for followers.
     pub(crate) fn change_view(
         &mut self,
         index: LogIndex,
@@ -130,7 +136,7 @@
         let delta = ViewDelta { index, config_revision, change };
         self.view.apply_delta(delta.clone());
         self.deltas.push_back(delta);
-        if self.deltas.len() > DELTAS_RETAINED {
+        if self.deltas.len() > MAX_RETAINED_DELTAS {
             self.deltas.pop_front();
         }
     }
--- a/crates/config/src/view.rs
+++ b/crates/config/src/view.rs
@@ -1,4 +1,4 @@
-//! The half of the state that every daemon holds.
+//! Defines the view: the part of the replicated state that every daemon holds.
 
 use std::collections::BTreeMap;
 
@@ -11,10 +11,10 @@
 
 use crate::members::{MemberRecord, MemberTable};
 
-/// An object as it is stored.
+/// A configuration object as stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredObject {
-    /// The owner.
+    /// The owning team.
     pub team: TeamId,
     /// Its revision.
     pub revision: ObjectRevision,
@@ -23,7 +23,7 @@
 }
 
 impl StoredObject {
-    /// Returns the object as queries show it.
+    /// Returns the representation of the object in query answers.
     pub fn view(&self, kind: ObjectKind, name: &str) -> ObjectView {
         ObjectView {
             kind,
@@ -35,7 +35,7 @@
     }
 }
 
-/// What a key gives access to.
+/// The object that a key authenticates.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyOwner {
     /// The kind of the object that holds the key.
@@ -47,7 +47,7 @@
 /// One change of the view.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ViewChange {
-    /// An object was written, or removed where the content is absent.
+    /// An object was written, or removed if the content is absent.
     Object {
         /// Its kind.
         kind: ObjectKind,
@@ -56,20 +56,20 @@
         /// Its content after the change.
         object: Option<StoredObject>,
     },
-    /// A member came or changed.
+    /// A member joined or changed.
     Member(MemberRecord),
-    /// A member went.
+    /// A member was removed.
     MemberGone(InstanceId),
 }
 
-/// A change of the view with its place in the log.
+/// A change of the view with its log index.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewDelta {
-    /// The log entry that made it.
+    /// The index of the log entry that made the change.
     pub index: LogIndex,
-    /// The configuration's revision after it.
+    /// The configuration's revision after the change.
     pub config_revision: ObjectRevision,
-    /// What changed.
+    /// The change.
     pub change: ViewChange,
 }
 
@@ -104,13 +104,13 @@
         self.objects.get(&(kind, name.to_owned()))
     }
 
-    /// Returns whether a team may create and change teams and let daemons leave.
+    /// Returns whether a team may create and change teams and drain daemons.
     pub fn is_admin(&self, team: &TeamId) -> bool {
         self.object(ObjectKind::Team, team.as_str())
             .is_some_and(|object| matches!(&object.spec, ObjectSpec::Team(spec) if spec.admin))
     }
 
-    /// Returns the share of an account among the others, or none where it does not exist.
+    /// Returns the relative share of an account, or `None` if the account does not exist.
     pub fn account_share(&self, account: &AccountId) -> Option<u32> {
         match &self.object(ObjectKind::Account, account.as_str())?.spec {
             ObjectSpec::Account(spec) => Some(spec.share),
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Returns the longest prompt of a model, or none where it is not configured.
+    /// Returns the maximum prompt length of a model, or `None` if the model is not configured.
     pub fn model_limit(&self, model: &ModelId) -> Option<oriolepass_units::TokenCount> {
         match &self.object(ObjectKind::Model, model.as_str())?.spec {
             ObjectSpec::Model(spec) => Some(spec.max_prompt),
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Lists the objects of one kind, or of all.
+    /// Lists the objects of one kind, or of all kinds.
     pub fn list(&self, kind: Option<ObjectKind>) -> ObjectList {
         let wanted = self.objects.iter().filter(|((k, _), _)| kind.is_none_or(|kind| kind == *k));
         ObjectList {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Returns the client accounts by their names.
+    /// Returns the client accounts with their names.
     pub fn accounts(&self) -> impl Iterator<Item = (&str, &AccountSpec)> {
         self.objects.iter().filter_map(|((_, name), object)| match &object.spec {
             ObjectSpec::Account(spec) => Some((name.as_str(), spec)),
@@ -143,10 +143,10 @@
         })
     }
 
-    /// Returns what a key gives access to.
+    /// Returns the object that a key authenticates.
     ///
-    /// The lookup is by the key's hash, whose bytes an attacker cannot choose; the final
-    /// comparison takes the same time whatever differs.
+    /// The lookup uses the key's hash, whose bytes an attacker cannot choose. The final comparison
+    /// runs in constant time.
     pub fn key_owner(&self, key: &str) -> Option<KeyOwner> {
         let hash = KeyHash::of(key);
         let (stored, (kind, name)) = self.key_owners.get_key_value(&hash)?;
@@ -154,14 +154,15 @@
         same.then(|| KeyOwner { kind: *kind, name: name.clone() })
     }
 
+    /// Returns the kind and name of the object that holds a key hash.
     pub(crate) fn holder_of(&self, hash: &KeyHash) -> Option<&(ObjectKind, String)> {
         self.key_owners.get(hash)
     }
 
-    /// Applies a change that a voter or relay passed on.
+    /// Applies a delta that a voter or relay forwarded.
     ///
-    /// Returns whether it was new. Older ones are left alone, so that a view never goes back,
-    /// whichever source the daemon turns to.
+    /// Returns whether the delta was new. A delta at or below the view's index is ignored, so that
+    /// the view never reverts when the daemon switches to another source.
     pub fn apply_delta(&mut self, delta: ViewDelta) -> bool {
         if delta.index <= self.index {
             return false;
@@ -181,6 +182,7 @@
         true
     }
 
+    /// Replaces or removes an object and updates the index of its keys.
     pub(crate) fn put_object(
         &mut self,
         kind: ObjectKind,
--- a/crates/config/tests/hostile_bytes.rs
+++ b/crates/config/tests/hostile_bytes.rs
@@ -1,4 +1,5 @@
-//! Bytes that nobody wrote: a snapshot is refused or read, never a panic.
+//! Fuzzes snapshot decoding with arbitrary and corrupted bytes. Decoding returns a state or an error
+//! and never panics.
 
 use oriolepass_config::{ReplicatedCommand, ReplicatedState, StampedCommand};
 use oriolepass_schema::operator::KeyHash;
@@ -14,18 +15,18 @@
     })]
 
     #[test]
-    fn any_bytes_are_refused_or_read(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn decoding_arbitrary_bytes_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = ReplicatedState::from_snapshot(&bytes);
     }
 
     #[test]
-    fn a_damaged_snapshot_is_refused_or_read(at in 0..200_usize, with in any::<u8>()) {
+    fn decoding_a_corrupted_snapshot_never_panics(position in 0..200_usize, value in any::<u8>()) {
         let mut state = ReplicatedState::default();
         let bootstrap = ReplicatedCommand::Bootstrap { root_key: KeyHash::of("k") };
         state.apply(LogIndex(1), &StampedCommand { unix_ms: 1, command: bootstrap });
         let mut bytes = state.to_snapshot();
-        let place = at % bytes.len();
-        bytes[place] = with;
+        let position = position % bytes.len();
+        bytes[position] = value;
         let _ = ReplicatedState::from_snapshot(&bytes);
     }
 }
--- a/crates/config/tests/stateful.rs
+++ b/crates/config/tests/stateful.rs
@@ -1,6 +1,7 @@
-//! Stateful fuzzing of the configuration calls against a simple oracle: changes by several
-//! teams, races with equal numbers, resends, the same id with other content, and restarts from
-//! a snapshot in between.
+//! Compares configuration changes with a reference model in random sequences of calls.
+//!
+//! The sequences hold changes by several teams, concurrent changes with the same expected revision,
+//! resends, change ids reused with other content, and restarts from a snapshot.
 
 use std::collections::BTreeMap;
 
@@ -18,27 +19,27 @@
 const TEAMS: [&str; 3] = ["red", "blue", "root"];
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
-/// One step.
+/// One step of a sequence.
 #[derive(Debug, Clone)]
 enum Step {
-    /// A team writes an object, expecting a revision, under a change id.
+    /// A team writes an object with an expected revision and a change id.
     Put { team: usize, name: usize, expected: u64, id: u8, version: u8 },
     /// A team removes an object.
     Delete { team: usize, name: usize, expected: u64, id: u8 },
-    /// An earlier change is sent again, word for word.
+    /// An earlier change is sent again unchanged.
     Resend { which: usize },
-    /// The state goes through a snapshot, as in a restart.
+    /// The state is encoded as a snapshot and decoded again, as in a restart.
     Restart,
 }
 
-/// What an answer amounts to.
+/// The parts of an answer that the test compares.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Verdict {
     Accepted { revision: u64, config_revision: u64 },
     Refused(ErrorCode),
 }
 
-/// The simple oracle.
+/// The reference model that predicts the answer to each change.
 #[derive(Debug, Clone, Default)]
 struct Oracle {
     config_revision: u64,
@@ -86,12 +87,12 @@
                 false => Verdict::Refused(ErrorCode::ChangeIdReused),
             };
         }
-        let verdict = self.decide_fresh(team, call);
+        let verdict = self.decide_new(team, call);
         self.answers.insert((team, id), (call.clone(), verdict.clone()));
         verdict
     }
 
-    fn decide_fresh(&mut self, team: usize, call: &ChangeCall) -> Verdict {
+    fn decide_new(&mut self, team: usize, call: &ChangeCall) -> Verdict {
         let name = NAMES.iter().position(|name| *name == call.name).expect("a known name");
         let present = self.objects.get(&name).copied();
         if present.is_some_and(|(owner, _, _)| owner != team) {
@@ -121,7 +122,7 @@
     type Transition = Step;
 
     fn init_state() -> BoxedStrategy<Self> {
-        // Bootstrap and the two other teams are there already.
+        // Bootstrap and the two other teams account for the first three revisions.
         Just(Self { config_revision: 3, ..Self::default() }).boxed()
     }
 
@@ -156,10 +157,10 @@
     }
 }
 
-/// The real state.
+/// The system under test.
 struct RealState {
     state: ReplicatedState,
-    shown: ObjectRevision,
+    observed_revision: ObjectRevision,
 }
 
 impl RealState {
@@ -179,7 +180,8 @@
     type Reference = Oracle;
 
     fn init_test(_: &Oracle) -> Self {
-        let mut real = Self { state: ReplicatedState::default(), shown: ObjectRevision::ZERO };
+        let mut real =
+            Self { state: ReplicatedState::default(), observed_revision: ObjectRevision::ZERO };
         real.commit(ReplicatedCommand::Bootstrap { root_key: KeyHash::of("root") });
         for team in &TEAMS[..2] {
             let spec = TeamSpec { keys: vec![KeyHash::of(team)], admin: false };
@@ -198,10 +200,11 @@
     fn apply(mut real: Self, oracle: &Oracle, step: Step) -> Self {
         if matches!(step, Step::Restart) {
             let bytes = real.state.to_snapshot();
-            real.state = ReplicatedState::from_snapshot(&bytes).expect("its own snapshot");
+            real.state =
+                ReplicatedState::from_snapshot(&bytes).expect("a snapshot of the same version");
             return real;
         }
-        // The oracle has taken the step already; a resend of nothing is no step.
+        // The oracle has already applied the step. A resend is skipped if no change was sent yet.
         let resent = matches!(step, Step::Resend { .. });
         if resent && oracle.sent.is_empty() {
             return real;
@@ -221,9 +224,12 @@
     fn check_invariants(real: &Self, oracle: &Oracle) {
         let view = real.state.view();
         assert_eq!(view.config_revision().0, oracle.config_revision);
-        assert!(view.config_revision() >= real.shown, "the configuration reverted");
+        assert!(
+            view.config_revision() >= real.observed_revision,
+            "the configuration revision decreased"
+        );
         let list = view.list(Some(ObjectKind::Model)).objects;
-        let held: BTreeMap<usize, (usize, u64, u8)> = list
+        let stored: BTreeMap<usize, (usize, u64, u8)> = list
             .iter()
             .map(|object| {
                 let name = NAMES.iter().position(|n| *n == object.name).expect("known");
@@ -232,7 +238,7 @@
                 (name, (team, object.revision.0, spec.version.parse().expect("a number")))
             })
             .collect();
-        assert_eq!(held, oracle.objects);
+        assert_eq!(stored, oracle.objects);
         assert_eq!(real.state.audit(0, usize::MAX).verify(), Ok(()));
     }
 }
@@ -246,24 +252,24 @@
     })]
 
     #[test]
-    fn changes_agree_with_the_oracle(sequential 1..60 => RealState);
+    fn changes_match_the_reference_model(sequential 1..60 => RealState);
 }
 
 #[test]
-fn an_edited_audit_record_shows() {
+fn edited_and_removed_audit_records_fail_verification() {
     let mut real = RealState::init_test(&Oracle::default());
     let _ = real.commit(ReplicatedCommand::Noop);
     let mut trail = real.state.audit(0, usize::MAX);
     assert_eq!(trail.verify(), Ok(()));
     trail.records[1].actor = "somebody".to_owned();
     assert_eq!(trail.verify(), Err(2));
-    let mut cut = real.state.audit(0, usize::MAX);
-    cut.records.remove(1);
-    assert_eq!(cut.verify(), Err(3));
+    let mut shortened = real.state.audit(0, usize::MAX);
+    shortened.records.remove(1);
+    assert_eq!(shortened.verify(), Err(3));
 }
 
 #[test]
-fn a_team_reaches_only_its_own_objects() {
+fn a_team_cannot_change_other_teams_or_its_own_admin_right() {
     let mut real = RealState::init_test(&Oracle::default());
     let change = |id: &str, name: &str, action: ChangeAction| ChangeCall {
         change_id: id.parse().expect("a valid id"),
