--- a/crates/config/tests/hostile_bytes.rs
+++ b/crates/config/tests/hostile_bytes.rs
@@ -1,5 +1,5 @@
-//! Fuzzes snapshot decoding with arbitrary and corrupted bytes. Decoding returns a state or an error
-//! and never panics.
+//! Fuzzes snapshot decoding with arbitrary and corrupted bytes. Decoding returns a state or an
+//! error and never panics.
 
 use oriolepass_config::{ReplicatedCommand, ReplicatedState, StampedCommand};
 use oriolepass_schema::operator::KeyHash;
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,29 +1,29 @@
-//! What can go wrong with the data folder.
+//! Defines the errors of the data folder.
 
 use std::io;
 
 use thiserror::Error;
 
-/// The reason that the data folder cannot be used.
+/// An error of the data folder.
 #[derive(Debug, Error)]
 pub enum StorageError {
-    /// An operation failed.
+    /// A file operation failed.
     #[error("{operation} {file}: {source}; {}", remedy(.source))]
     Io {
-        /// What was tried.
+        /// The operation that failed.
         operation: &'static str,
         /// The file.
         file: String,
         /// The operating system's error.
         source: io::Error,
     },
-    /// Another daemon uses the folder.
+    /// Another daemon has locked the folder.
     #[error(
         "the data folder is in use by another daemon; stop that one, or name another folder in \
          [instance] data_folder"
     )]
     InUse,
-    /// Synced data is damaged.
+    /// Synced data is damaged, so truncating it could lose acknowledged entries.
     #[error(
         "{file} is damaged at byte {offset} ({detail}); move the data folder aside and start \
          this voter with an empty one: it catches up from the others as a learner"
@@ -31,19 +31,20 @@
     Damaged {
         /// The file.
         file: String,
-        /// Where the damage starts.
+        /// The byte offset at which the damage starts.
         offset: u64,
-        /// What is wrong there.
+        /// The check that failed at the offset.
         detail: String,
     },
-    /// An earlier write failed, so that what is on the disk is not known.
+    /// An earlier operation failed, so the durable content of the disk is unknown.
     #[error(
-        "an earlier write to the data folder failed; restart the daemon, which reads what was \
-         kept"
+        "an earlier write to the data folder failed; restart the daemon, which then recovers the \
+         log from the data folder"
     )]
     Poisoned,
 }
 
+/// Returns the remedy that the error message proposes for an operating system error.
 fn remedy(error: &io::Error) -> &'static str {
     match error.kind() {
         io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => "free space on that disk",
--- a/crates/storage/src/fake.rs
+++ b/crates/storage/src/fake.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that loses what was not synced.
+//! Simulates a disk in memory that loses unsynced data, for crash tests.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -11,37 +11,39 @@
 struct FakeFile {
     content: Vec<u8>,
     synced: usize,
-    /// From here on a failed sync has dropped what was not synced: it can be read until the power
-    /// is lost, and later syncs succeed without it.
-    dropped: Option<usize>,
+    /// Offset of the data that the kernel dropped after a failed sync. The data can be read until
+    /// a power loss, and later syncs succeed without writing it.
+    dropped_from: Option<usize>,
 }
 
 #[derive(Debug, Default)]
 struct DiskState {
-    /// What a running process sees.
+    /// The files as a running process sees them.
     files: BTreeMap<String, FakeFile>,
-    /// What the folder holds after a crash: the files of the last folder sync.
-    kept: BTreeMap<String, FakeFile>,
-    /// Operations left before the disk fails, where a failure is planned.
+    /// The files as of the last folder sync, which the folder holds after a crash.
+    durable: BTreeMap<String, FakeFile>,
+    /// Operations that succeed before the injected failure, if one is set.
     fails_after: Option<u64>,
     free_bytes: Option<u64>,
     syncs: u64,
 }
 
-/// A disk in memory. After [`FakeDisk::crash`] a file holds what was synced, and at random a
-/// torn part of what was not; files created, renamed or removed without a sync of the folder
-/// are as they were before, or not, at random.
+/// A simulated disk in memory.
+///
+/// After [`FakeDisk::crash`] a file holds its synced data and a random, possibly corrupted prefix
+/// of its unsynced data. Each file that was created, renamed or removed since the last sync of the
+/// folder is either in its old or in its new state, at random.
 #[derive(Debug, Clone, Default)]
 pub struct FakeDisk(Arc<Mutex<DiskState>>);
 
 impl FakeDisk {
-    /// Loses power.
+    /// Simulates a power loss.
     pub fn crash(&self, random: &mut StdRng) {
         let mut state = self.lock();
-        let DiskState { files, kept, .. } = &mut *state;
-        // Each file operation since the last folder sync may or may not have reached the disk.
-        for name in files.keys().chain(kept.keys()).cloned().collect::<Vec<_>>() {
-            let survivor = match (files.get(&name), kept.get(&name)) {
+        let DiskState { files, durable, .. } = &mut *state;
+        // Each folder operation since the last folder sync may or may not have reached the disk.
+        for name in files.keys().chain(durable.keys()).cloned().collect::<Vec<_>>() {
+            let survivor = match (files.get(&name), durable.get(&name)) {
                 (Some(now), Some(_)) => Some(now.clone()),
                 (now, before) => {
                     if random.random_bool(0.5) {
@@ -52,77 +54,78 @@
                 }
             };
             match survivor {
-                Some(file) => kept.insert(name, torn(file, random)),
-                None => kept.remove(&name),
+                Some(file) => durable.insert(name, after_power_loss(file, random)),
+                None => durable.remove(&name),
             };
         }
-        *files = kept.clone();
+        *files = durable.clone();
         state.fails_after = None;
     }
 
-    /// Ends the process that uses the disk and keeps the power: files stay as the process saw
-    /// them, but what it had not synced is still only in the kernel's memory.
+    /// Simulates a kill of the process without a power loss. The files keep their content, but
+    /// unsynced data remains only in the page cache.
     pub fn kill_process(&self) {
         self.lock().fails_after = None;
     }
 
-    /// Lets a disk that failed as planned work again. As kernels do, it has dropped what the
-    /// failed sync was to cover.
-    pub fn work_again(&self) {
+    /// Ends an injected failure. Unsynced data is marked as dropped, because kernels may drop
+    /// dirty pages after a failed sync.
+    pub fn clear_failure(&self) {
         let mut state = self.lock();
         state.fails_after = None;
         for file in state.files.values_mut().filter(|file| file.content.len() > file.synced) {
-            file.dropped = file.dropped.or(Some(file.synced));
+            file.dropped_from = file.dropped_from.or(Some(file.synced));
         }
     }
 
-    /// Forgets everything, as a replaced disk has.
+    /// Removes all files, as replacing the disk does.
     pub fn wipe(&self) {
         *self.lock() = DiskState::default();
     }
 
-    /// Makes every operation fail once `operations` more have been done.
+    /// Makes every operation fail after `operations` more operations have succeeded.
     pub fn fail_after(&self, operations: u64) {
         self.lock().fails_after = Some(operations);
     }
 
-    /// Limits the bytes that can still be written.
+    /// Limits the number of bytes that can still be written.
     pub fn set_free_bytes(&self, bytes: Option<u64>) {
         self.lock().free_bytes = bytes;
     }
 
-    /// Changes one byte of a file, as a failing medium would.
+    /// Flips one bit of a file, as a failing medium would.
     ///
     /// # Panics
     ///
-    /// Panics when there is no such byte.
+    /// Panics if the file or the byte does not exist.
     pub fn damage(&self, name: &str, offset: usize) {
         let mut state = self.lock();
-        state.files.get_mut(name).expect("a file of that name").content[offset] ^= 0x40;
+        state.files.get_mut(name).expect("the file exists").content[offset] ^= 0x40;
     }
 
-    /// Lists the files.
+    /// Lists the names of the files.
     pub fn list(&self) -> Vec<String> {
         self.lock().files.keys().cloned().collect()
     }
 
-    /// Returns the number of syncs so far, of files and of the folder.
+    /// Returns the number of syncs so far, of files and of the folder together.
     pub fn syncs(&self) -> u64 {
         self.lock().syncs
     }
 
-    /// Returns the length of a file, or none where there is no such file.
+    /// Returns the length of a file, or `None` if the file does not exist.
     pub fn length(&self, name: &str) -> Option<usize> {
         self.lock().files.get(name).map(|file| file.content.len())
     }
 
     fn lock(&self) -> MutexGuard<'_, DiskState> {
-        self.0.lock().expect("no test panics while it holds the disk")
+        self.0.lock().expect("no test panics while it holds the lock")
     }
 
-    fn spend(state: &mut DiskState) -> io::Result<()> {
+    /// Counts an operation, and fails it if the injected failure is due.
+    fn count_operation(state: &mut DiskState) -> io::Result<()> {
         match &mut state.fails_after {
-            Some(0) => Err(io::Error::other("the fake disk failed as planned")),
+            Some(0) => Err(io::Error::other("injected failure of the fake disk")),
             Some(left) => {
                 *left -= 1;
                 Ok(())
@@ -143,7 +146,7 @@
 
     pub(crate) fn append(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let mut state = self.lock();
-        Self::spend(&mut state)?;
+        Self::count_operation(&mut state)?;
         let room = state.free_bytes.unwrap_or(u64::MAX);
         let written = bytes.len().min(usize::try_from(room).unwrap_or(usize::MAX));
         if let Some(free) = &mut state.free_bytes {
@@ -156,7 +159,7 @@
 
     pub(crate) fn sync_file(&self, name: &str) -> io::Result<()> {
         let mut state = self.lock();
-        Self::spend(&mut state)?;
+        Self::count_operation(&mut state)?;
         state.syncs += 1;
         let file = state.files.get_mut(name).ok_or(io::ErrorKind::NotFound)?;
         file.synced = file.content.len();
@@ -165,17 +168,17 @@
 
     pub(crate) fn truncate(&self, name: &str, length: u64) -> io::Result<()> {
         let mut state = self.lock();
-        Self::spend(&mut state)?;
+        Self::count_operation(&mut state)?;
         let file = state.files.get_mut(name).ok_or(io::ErrorKind::NotFound)?;
-        file.content.truncate(usize::try_from(length).expect("a short file"));
+        file.content.truncate(usize::try_from(length).expect("the length fits in usize"));
         file.synced = file.content.len();
-        file.dropped = file.dropped.filter(|from| *from < file.content.len());
+        file.dropped_from = file.dropped_from.filter(|from| *from < file.content.len());
         Ok(())
     }
 
     pub(crate) fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         let mut state = self.lock();
-        Self::spend(&mut state)?;
+        Self::count_operation(&mut state)?;
         let file = state.files.remove(from).ok_or(io::ErrorKind::NotFound)?;
         state.files.insert(to.to_owned(), file);
         Ok(())
@@ -183,23 +186,24 @@
 
     pub(crate) fn remove(&self, name: &str) -> io::Result<()> {
         let mut state = self.lock();
-        Self::spend(&mut state)?;
+        Self::count_operation(&mut state)?;
         state.files.remove(name).map(drop).ok_or(io::ErrorKind::NotFound.into())
     }
 
     pub(crate) fn sync_folder(&self) -> io::Result<()> {
         let mut state = self.lock();
-        Self::spend(&mut state)?;
+        Self::count_operation(&mut state)?;
         state.syncs += 1;
-        state.kept = state.files.clone();
+        state.durable = state.files.clone();
         Ok(())
     }
 }
 
-/// Keeps the synced part of a file and a random piece of the rest, which may be garbled.
-fn torn(mut file: FakeFile, random: &mut StdRng) -> FakeFile {
-    if let Some(from) = file.dropped.take() {
-        // The length may have reached the disk without the bytes.
+/// Returns a file as it is after a power loss: its synced data and a random prefix of the unsynced
+/// data, in which one bit may be flipped.
+fn after_power_loss(mut file: FakeFile, random: &mut StdRng) -> FakeFile {
+    if let Some(from) = file.dropped_from.take() {
+        // The new length may have reached the disk without the data.
         if random.random_bool(0.5) {
             file.content[from..].fill(0);
         } else {
@@ -211,8 +215,8 @@
     let survives = if unsynced == 0 { 0 } else { random.random_range(0..=unsynced) };
     file.content.truncate(file.synced + survives);
     if survives > 0 && random.random_bool(0.3) {
-        let victim = file.synced + random.random_range(0..survives);
-        file.content[victim] ^= 0x10;
+        let position = file.synced + random.random_range(0..survives);
+        file.content[position] ^= 0x10;
     }
     file.synced = file.content.len();
     file
--- a/crates/storage/src/folder.rs
+++ b/crates/storage/src/folder.rs
@@ -1,4 +1,4 @@
-//! The data folder: a real one, or a fake one in memory.
+//! Provides the file operations of the store, on a real folder or on a fake disk in memory.
 
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io::Write;
@@ -8,10 +8,10 @@
 use crate::error::StorageError;
 use crate::fake::FakeDisk;
 
-/// The file that a daemon locks while it uses the folder.
+/// Name of the file that a daemon locks while it uses the folder.
 const LOCK_FILE: &str = "lock";
 
-/// A folder that holds the store's files. Files are named, not pathed.
+/// The folder that holds the files of the store. Files are addressed by name, without a path.
 #[derive(Debug, Clone)]
 pub struct DiskFolder(FolderKind);
 
@@ -27,11 +27,11 @@
 }
 
 impl DiskFolder {
-    /// Opens a real folder, creating it where it is missing, and locks it.
+    /// Opens a real folder and locks it. The folder is created if it does not exist.
     ///
     /// # Errors
     ///
-    /// Returns an error when the folder cannot be created or written, or is in use.
+    /// Returns an error if the folder cannot be created or written, or if another daemon uses it.
     pub fn open(path: impl Into<PathBuf>) -> Result<Self, StorageError> {
         let path = path.into();
         let name = path.display().to_string();
@@ -50,12 +50,12 @@
         Ok(Self(FolderKind::Real { path, _lock: Arc::new(lock) }))
     }
 
-    /// Uses a fake disk.
+    /// Creates a folder on a fake disk.
     pub fn fake(disk: FakeDisk) -> Self {
         Self(FolderKind::Fake(disk))
     }
 
-    /// Lists the files, in order of their names.
+    /// Lists the files except the lock file, sorted by name.
     pub(crate) fn list(&self) -> Result<Vec<String>, StorageError> {
         let mut names: Vec<String> = match &self.0 {
             FolderKind::Real { path, .. } => fs::read_dir(path)
@@ -69,6 +69,7 @@
         Ok(names)
     }
 
+    /// Reads a whole file.
     pub(crate) fn read(&self, name: &str) -> Result<Vec<u8>, StorageError> {
         match &self.0 {
             FolderKind::Real { path, .. } => fs::read(path.join(name)),
@@ -77,7 +78,7 @@
         .map_err(io_error("read", name))
     }
 
-    /// Opens a file for appending, creating it where it is missing.
+    /// Opens a file for appending. The file is created if it does not exist.
     pub(crate) fn append_to(&self, name: &str) -> Result<AppendFile, StorageError> {
         let kind = match &self.0 {
             FolderKind::Real { path, .. } => {
@@ -92,6 +93,7 @@
         Ok(AppendFile { name: name.to_owned(), kind })
     }
 
+    /// Truncates a file and syncs it.
     pub(crate) fn truncate(&self, name: &str, length: u64) -> Result<(), StorageError> {
         match &self.0 {
             FolderKind::Real { path, .. } => {
@@ -133,7 +135,7 @@
         .map_err(io_error("remove", name))
     }
 
-    /// Syncs the folder itself, so that files created, renamed or removed stay so.
+    /// Syncs the folder itself, which makes created, renamed and removed files durable.
     pub(crate) fn sync(&self) -> Result<(), StorageError> {
         match &self.0 {
             FolderKind::Real { path, .. } => File::open(path).and_then(|folder| folder.sync_all()),
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,24 +1,25 @@
-//! Synced log segments and snapshots under one data folder.
+//! Stores the replicated log durably as segments and snapshots in one data folder.
 //!
-//! The store is a write-ahead log. A batch of records becomes one *frame* (length, checksum,
-//! payload), is appended to the newest segment and synced before [`LogStore::append`] returns.
-//! One sync serves the whole batch, and since each frame is synced before the next is written,
-//! a crash can damage the last frame only. That makes recovery unambiguous:
+//! The store is a write-ahead log. A batch of records is encoded as one *frame* (length, checksum,
+//! payload), appended to the newest segment and synced before [`LogStore::append`] returns. One
+//! sync covers the whole batch. Each frame is synced before the next one is written, so a crash
+//! can damage only the last frame. Recovery therefore distinguishes two cases:
 //!
-//! * a damaged frame at the very end is a torn write of a batch that nobody was told of: cut;
-//! * a damaged frame with a good one after it, or in an older segment, is damage to synced
-//!   data: an error that names file, offset and remedy. Cutting there would silently forget
-//!   entries that this voter has acknowledged.
+//! * A damaged frame at the end of the newest segment is a torn write of a batch that was never
+//!   acknowledged. It is truncated.
+//! * A damaged frame in an older segment, or with a good frame after it, is damage to synced data.
+//!   Recovery returns an error that names the file, the offset and the remedy. Truncating there
+//!   would silently lose entries that this voter has acknowledged.
 //!
-//! A process that is killed leaves in the kernel's memory what it had written and not synced. The
-//! next start reads that as good frames, so it syncs the newest segment before it hands anything
-//! out: what was read is as durable as what was appended.
+//! When a process is killed, its written but unsynced data remains in the page cache. The next
+//! start reads that data as good frames. It therefore syncs the newest segment before it returns
+//! the recovered log, so that recovered entries are as durable as appended entries.
 //!
-//! Snapshots are written to a temporary file, synced, renamed, and the folder synced; only then
-//! are the segments they cover removed.
+//! A snapshot is written to a temporary file, synced and renamed, and the folder is synced. Only
+//! then are the segments that the snapshot covers removed.
 //!
-//! [`DiskFolder`] hides the difference between a real folder and [`FakeDisk`], a disk in memory
-//! that loses what was not synced, so that randomised runs crash the real code at any step.
+//! [`DiskFolder`] abstracts over a real folder and [`FakeDisk`], an in-memory disk that loses
+//! unsynced data. Randomised tests use it to crash the store at any operation.
 
 mod error;
 mod fake;
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -1,11 +1,11 @@
-//! What the log consists of.
+//! Defines the records of the log and the metadata of snapshots.
 
 use std::sync::Arc;
 
 use oriolepass_units::{LeaderTerm, LogIndex};
 use serde::{Deserialize, Serialize};
 
-/// What a voter must never forget: its term and its vote in it.
+/// The state that a voter must never lose: its term and its vote in that term.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// The latest term seen.
@@ -19,7 +19,7 @@
 /// One entry of the replicated log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredEntry {
-    /// Its place.
+    /// Its log index.
     pub index: LogIndex,
     /// The term of the leader that proposed it.
     pub term: LeaderTerm,
@@ -30,26 +30,27 @@
 /// One record of the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LogRecord {
-    /// The hard state is this from now on.
+    /// Replaces the hard state.
     Hard(HardState),
-    /// An entry. One at or below the last index replaces that and all that follow.
+    /// Adds an entry. An entry at or below the last index replaces the entry at its index and
+    /// removes all later entries.
     Entry(StoredEntry),
-    /// The log starts after a snapshot that came from the leader; earlier entries are void.
+    /// Restarts the log after a snapshot that the leader sent; earlier entries are discarded.
     Reset {
-        /// The snapshot's last entry.
+        /// The index of the snapshot's last entry.
         index: LogIndex,
-        /// That entry's term.
+        /// The term of that entry.
         term: LeaderTerm,
     },
 }
 
-/// Describes a snapshot.
+/// The metadata of a snapshot.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotMeta {
-    /// The last entry that it covers.
+    /// The index of the last entry that the snapshot covers.
     pub index: LogIndex,
-    /// That entry's term.
+    /// The term of that entry.
     pub term: LeaderTerm,
-    /// The voters at that entry, encoded by the caller.
+    /// The voters as of that entry, encoded by the caller.
     pub voters: Vec<u8>,
 }
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Reads what a crash or a stop left behind.
+//! Recovers the log from the files of the data folder.
 
 use std::collections::BTreeMap;
 
@@ -9,30 +9,32 @@
 use crate::frame::{self, FrameRead};
 use crate::record::{HardState, LogRecord, SnapshotMeta, StoredEntry};
 
-/// Everything that the store kept.
+/// The content of the store after recovery.
 #[derive(Debug, Default)]
 pub struct RecoveredLog {
     /// The hard state.
     pub hard: HardState,
     /// The newest snapshot.
     pub snapshot: Option<(SnapshotMeta, Vec<u8>)>,
-    /// The entries after it, in order and without gaps.
+    /// The entries after the snapshot, in order and without gaps.
     pub entries: Vec<StoredEntry>,
-    /// Bytes of a torn last frame that were cut.
+    /// Number of bytes of a torn last frame that were truncated.
     pub cut_bytes: u64,
 }
 
 impl RecoveredLog {
-    /// Returns the index of the last entry, or of the snapshot where there is none.
+    /// Returns the index of the last entry, or of the snapshot if there is no entry after it.
     pub fn last_index(&self) -> LogIndex {
         let base = self.snapshot.as_ref().map_or(LogIndex::ZERO, |(meta, _)| meta.index);
         self.entries.last().map_or(base, |entry| entry.index)
     }
 }
 
+/// The recovered log with the numbers of its segments.
 pub(crate) struct Recovery {
     pub(crate) log: RecoveredLog,
     pub(crate) next_segment: u64,
+    /// The index of the last entry at the end of each segment.
     pub(crate) segment_ends: BTreeMap<u64, LogIndex>,
 }
 
@@ -40,6 +42,7 @@
     StorageError::Damaged { file: file.to_owned(), offset: offset as u64, detail: detail.into() }
 }
 
+/// Reads the snapshot and all segments, and truncates a torn last frame.
 pub(crate) fn read(folder: &DiskFolder) -> Result<Recovery, StorageError> {
     let names = folder.list()?;
     let mut reader = SegmentReader::default();
@@ -52,20 +55,23 @@
         })
         .collect();
     for (position, (number, name)) in segments.iter().enumerate() {
-        let last = position + 1 == segments.len();
-        reader.read_segment(folder, name, last)?;
+        let newest = position + 1 == segments.len();
+        reader.read_segment(folder, name, newest)?;
         reader.ends.insert(*number, reader.last);
     }
     if let Some((_, newest)) = segments.last() {
-        // A process killed before its sync leaves a good frame in the kernel's memory only. Others build on what is
-        // read here, and no later sync covers this file; without this one, a loss of power tears it for good.
+        // A process that was killed before its sync leaves a good frame only in the page cache.
+        // Later operations depend on the frames read here, and no later sync covers this file.
+        // Without this sync, a power loss could tear the file, and every later start would refuse
+        // it as damaged.
         folder.sync_file(newest)?;
     }
     let next_segment = segments.last().map_or(1, |(number, _)| number + 1);
-    reader.check_joined(segments.first().map(|(_, name)| name.as_str()))?;
+    reader.trim_to_snapshot(segments.first().map(|(_, name)| name.as_str()))?;
     Ok(Recovery { log: reader.log, next_segment, segment_ends: reader.ends })
 }
 
+/// Reads the newest snapshot.
 fn read_snapshot(
     folder: &DiskFolder,
     names: &[String],
@@ -75,18 +81,19 @@
     };
     let bytes = folder.read(name)?;
     let FrameRead::Good(payload, _) = frame::read(&bytes, 0) else {
-        // It was renamed only after it was synced, so this is damage and not a torn write.
-        return Err(damaged(name, 0, "the snapshot's checksum differs"));
+        // A snapshot is synced before it is renamed, so a bad frame is damage, not a torn write.
+        return Err(damaged(name, 0, "the snapshot frame is invalid"));
     };
     postcard::from_bytes(payload)
         .map(Some)
         .map_err(|error| damaged(name, 0, format!("the snapshot cannot be decoded: {error}")))
 }
 
+/// Replays the segments in the order of their numbers.
 #[derive(Default)]
 struct SegmentReader {
     log: RecoveredLog,
-    /// Entries by index; what lies at or below the snapshot is dropped at the end.
+    /// Entries by index. Entries that the snapshot covers are removed after the last segment.
     entries: BTreeMap<LogIndex, StoredEntry>,
     last: LogIndex,
     reset: Option<(LogIndex, LeaderTerm)>,
@@ -94,11 +101,13 @@
 }
 
 impl SegmentReader {
-    /// Returns the last entry that the snapshot covers.
+    /// Returns the index of the last entry that the snapshot covers.
     fn base(&self) -> LogIndex {
         self.log.snapshot.as_ref().map_or(LogIndex::ZERO, |(meta, _)| meta.index)
     }
 
+    /// Reads a segment. A torn last frame is truncated in the newest segment and an error in
+    /// others.
     fn read_segment(
         &mut self,
         folder: &DiskFolder,
@@ -117,9 +126,9 @@
                     self.replay(name, offset, records)?;
                     offset = next;
                 }
-                // Each frame is synced before the next is written, so only the last frame of
-                // the newest segment can be torn. Anything else was synced once.
-                FrameRead::Bad(detail) if !newest || frame::any_after(&bytes, offset) => {
+                // Each frame is synced before the next one is written, so only the last frame of
+                // the newest segment can be torn. All other data was synced.
+                FrameRead::Bad(detail) if !newest || frame::has_frame_after(&bytes, offset) => {
                     return Err(damaged(name, offset, detail));
                 }
                 FrameRead::Bad(_) => {
@@ -130,6 +139,7 @@
         }
     }
 
+    /// Applies the records of one frame.
     fn replay(
         &mut self,
         name: &str,
@@ -146,9 +156,9 @@
                 }
                 LogRecord::Entry(entry) => {
                     if self.last != LogIndex::ZERO && entry.index > self.last.next() {
-                        // A crash in the middle of compaction may undo the removal of one
-                        // segment and not of the next. That gap the snapshot covers; any other
-                        // is a lost file.
+                        // A crash during compaction may undo the removal of one segment and not
+                        // of the next one. The snapshot covers such a gap. Any other gap means
+                        // that a file is missing.
                         if entry.index > self.base().next() {
                             let detail =
                                 format!("entry {} follows entry {}", entry.index, self.last);
@@ -165,8 +175,9 @@
         Ok(())
     }
 
-    /// Joins the entries to the snapshot.
-    fn check_joined(&mut self, first_segment: Option<&str>) -> Result<(), StorageError> {
+    /// Removes the entries that the snapshot covers, and checks that the snapshot of a reset and
+    /// all later entries are present.
+    fn trim_to_snapshot(&mut self, first_segment: Option<&str>) -> Result<(), StorageError> {
         let base = self.base();
         let file = first_segment.unwrap_or("the data folder");
         if let Some((index, _)) = self.reset.filter(|(index, _)| *index > base) {
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -1,4 +1,4 @@
-//! The store: appends records, takes snapshots, drops what they cover.
+//! Implements the log store: appends records, saves snapshots and removes covered segments.
 
 use std::collections::BTreeMap;
 
@@ -10,11 +10,11 @@
 use crate::record::{HardState, LogRecord, SnapshotMeta};
 use crate::recovery::{self, RecoveredLog};
 
-/// The size at which a new segment is started, in bytes.
+/// Size of a segment in bytes at which the next append starts a new segment.
 pub const DEFAULT_SEGMENT_BYTES: u64 = 8 * 1024 * 1024;
 
-/// The name under which a snapshot is written before it is whole.
-const SNAPSHOT_DRAFT: &str = "snapshot.tmp";
+/// Name of the temporary file to which a snapshot is written before it is complete.
+const SNAPSHOT_TEMP_FILE: &str = "snapshot.tmp";
 
 pub(crate) fn segment_name(number: u64) -> String {
     format!("segment-{number:016x}.log")
@@ -24,17 +24,18 @@
     format!("snapshot-{:016x}.bin", index.0)
 }
 
-/// Where a failed sync may have left bytes that can be read and are not durable.
+/// The synced lengths of files that may end in readable bytes that are not durable.
 ///
-/// A failed sync lets the kernel forget that the bytes have to be written: they can still be read,
-/// and a second sync succeeds without them. Only the process that saw the failure knows how far
-/// its files were synced, so it hands that on to the next opening.
+/// After a failed sync the kernel may mark the dirty pages as clean. The bytes can still be read,
+/// and a second sync succeeds without writing them. Only the process that saw the failure knows
+/// how far its files were synced, so it passes the synced lengths to
+/// [`LogStore::open_after_failure`].
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct UnsyncedTails(BTreeMap<String, u64>);
 
 impl UnsyncedTails {
-    /// Cuts each file to the length that was synced.
-    fn cut(&mut self, folder: &DiskFolder) -> Result<(), StorageError> {
+    /// Truncates each file to its synced length.
+    fn truncate(&mut self, folder: &DiskFolder) -> Result<(), StorageError> {
         if self.0.is_empty() {
             return Ok(());
         }
@@ -56,20 +57,21 @@
     newest: AppendFile,
     newest_number: u64,
     newest_length: u64,
-    /// The last entry index that each older segment holds; such a segment can go once a
-    /// snapshot covers that index.
+    /// The index of the last entry in each older segment. A segment can be removed once a snapshot
+    /// covers that index.
     older: BTreeMap<u64, LogIndex>,
     last_index: LogIndex,
     hard: HardState,
+    /// Whether an operation failed, after which the store refuses all others.
     poisoned: bool,
 }
 
 impl LogStore {
-    /// Opens the store and reads everything that it kept.
+    /// Opens the store and recovers its log.
     ///
     /// # Errors
     ///
-    /// Returns an error when the folder cannot be read or written, or synced data is damaged.
+    /// Returns an error if the folder cannot be read or written, or if synced data is damaged.
     pub fn open(
         folder: DiskFolder,
         segment_bytes: u64,
@@ -77,20 +79,22 @@
         Self::open_after_failure(folder, segment_bytes, &mut UnsyncedTails::default())
     }
 
-    /// Opens the store in the process that saw it fail.
+    /// Reopens the store in the process that saw it fail. The unsynced tails of its files are
+    /// truncated first.
     ///
     /// # Errors
     ///
-    /// As [`LogStore::open`]; `suspects` then says what a later try has to cut.
+    /// Returns the same errors as [`LogStore::open`]. `tails` then holds the tails that the next
+    /// attempt has to truncate.
     pub fn open_after_failure(
         folder: DiskFolder,
         segment_bytes: u64,
-        suspects: &mut UnsyncedTails,
+        tails: &mut UnsyncedTails,
     ) -> Result<(Self, RecoveredLog), StorageError> {
-        suspects.cut(&folder)?;
+        tails.truncate(&folder)?;
         let recovery = recovery::read(&folder)?;
         let number = recovery.next_segment;
-        suspects.0.insert(segment_name(number), 0);
+        tails.0.insert(segment_name(number), 0);
         let mut store = Self {
             newest: folder.append_to(&segment_name(number))?,
             folder,
@@ -102,12 +106,12 @@
             hard: recovery.log.hard.clone(),
             poisoned: false,
         };
-        store.begin_segment()?;
-        suspects.0.clear();
+        store.write_first_frame()?;
+        tails.0.clear();
         Ok((store, recovery.log))
     }
 
-    /// Returns what may look durable and is not, once the store has failed.
+    /// Returns the tails that may be readable but not durable after the store has failed.
     pub fn unsynced_tails(&self) -> UnsyncedTails {
         let newest = segment_name(self.newest_number);
         UnsyncedTails(BTreeMap::from([(newest, self.newest_length)]))
@@ -117,15 +121,15 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the frame may not be durable. The store then refuses everything
-    /// until it is opened again: after a failed sync the kernel may have dropped the bytes while
-    /// a second sync would report success.
+    /// Returns an error if the frame may not be durable. The store then refuses all operations
+    /// until it is reopened, because after a failed sync the kernel may have dropped the bytes and
+    /// a second sync would still report success.
     pub fn append(&mut self, records: &[LogRecord]) -> Result<(), StorageError> {
         if records.is_empty() {
             return Ok(());
         }
         if self.newest_length >= self.segment_bytes {
-            self.guarded(Self::roll)?;
+            self.poison_on_error(Self::start_next_segment)?;
         }
         for record in records {
             match record {
@@ -135,45 +139,45 @@
             }
         }
         let payload = postcard::to_stdvec(records).expect("records always serialise");
-        self.guarded(|store| store.write_frame(&payload))
+        self.poison_on_error(|store| store.write_frame(&payload))
     }
 
     /// Writes a snapshot and syncs it.
     ///
     /// # Errors
     ///
-    /// Returns an error when the snapshot may not be durable; the earlier one is still there.
+    /// Returns an error if the snapshot may not be durable. The previous snapshot remains.
     pub fn save_snapshot(&mut self, meta: &SnapshotMeta, data: &[u8]) -> Result<(), StorageError> {
         let payload = postcard::to_stdvec(&(meta, data)).expect("a snapshot always serialises");
-        self.guarded(|store| {
-            if store.folder.list()?.iter().any(|name| name == SNAPSHOT_DRAFT) {
-                store.folder.remove(SNAPSHOT_DRAFT)?;
+        self.poison_on_error(|store| {
+            if store.folder.list()?.iter().any(|name| name == SNAPSHOT_TEMP_FILE) {
+                store.folder.remove(SNAPSHOT_TEMP_FILE)?;
             }
-            let mut draft = store.folder.append_to(SNAPSHOT_DRAFT)?;
+            let mut draft = store.folder.append_to(SNAPSHOT_TEMP_FILE)?;
             draft.write(&frame::encode(&payload))?;
             draft.sync()?;
-            store.folder.rename(SNAPSHOT_DRAFT, &snapshot_name(meta.index))?;
+            store.folder.rename(SNAPSHOT_TEMP_FILE, &snapshot_name(meta.index))?;
             store.folder.sync()
         })
     }
 
-    /// Removes segments and snapshots that a synced snapshot at `index` makes superfluous,
-    /// keeping entries after `keep_after` for followers that lag a little.
+    /// Removes the segments and snapshots that a synced snapshot at `index` covers. Entries after
+    /// `keep_after` are retained for followers that lag slightly.
     ///
     /// # Errors
     ///
-    /// Returns an error when a file cannot be removed.
+    /// Returns an error if a file cannot be removed.
     pub fn compact(&mut self, index: LogIndex, keep_after: LogIndex) -> Result<(), StorageError> {
         let bound = index.min(keep_after);
-        let superfluous: Vec<u64> = self
+        let covered: Vec<u64> = self
             .older
             .iter()
             .take_while(|(_, last)| **last <= bound)
             .map(|(number, _)| *number)
             .collect();
         let current = snapshot_name(index);
-        self.guarded(|store| {
-            for number in superfluous {
+        self.poison_on_error(|store| {
+            for number in covered {
                 store.folder.remove(&segment_name(number))?;
                 store.older.remove(&number);
             }
@@ -186,8 +190,8 @@
         })
     }
 
-    /// Runs an operation; its failure makes the store refuse everything that follows.
-    fn guarded(
+    /// Runs an operation. If it fails, the store refuses all later operations.
+    fn poison_on_error(
         &mut self,
         operation: impl FnOnce(&mut Self) -> Result<(), StorageError>,
     ) -> Result<(), StorageError> {
@@ -199,22 +203,25 @@
         result
     }
 
-    fn roll(&mut self) -> Result<(), StorageError> {
+    /// Starts a new segment after the newest one.
+    fn start_next_segment(&mut self) -> Result<(), StorageError> {
         self.older.insert(self.newest_number, self.last_index);
         self.newest_number += 1;
         self.newest_length = 0;
         self.newest = self.folder.append_to(&segment_name(self.newest_number))?;
-        self.begin_segment()
+        self.write_first_frame()
     }
 
-    /// Starts a segment with the hard state, so that older segments can be removed.
-    fn begin_segment(&mut self) -> Result<(), StorageError> {
+    /// Writes the hard state as the first frame of a segment, so that older segments can be
+    /// removed.
+    fn write_first_frame(&mut self) -> Result<(), StorageError> {
         let first = [LogRecord::Hard(self.hard.clone())];
         let payload = postcard::to_stdvec(&first[..]).expect("records always serialise");
         self.write_frame(&payload)?;
         self.folder.sync()
     }
 
+    /// Appends a frame to the newest segment and syncs it.
     fn write_frame(&mut self, payload: &[u8]) -> Result<(), StorageError> {
         let bytes = frame::encode(payload);
         self.newest.write(&bytes)?;
--- a/crates/storage/tests/hostile_bytes.rs
+++ b/crates/storage/tests/hostile_bytes.rs
@@ -1,11 +1,12 @@
-//! Segments and snapshots that nobody wrote: the store refuses them or reads what is good.
+//! Opens the store on segments and snapshots of random bytes: it returns an error or an empty log
+//! and never panics.
 
 use oriolepass_storage::{DiskFolder, LogStore};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
 #[test]
-fn any_file_is_refused_or_read() {
+fn opening_random_files_returns_an_error_or_no_entries() {
     for seed in 0..300_u64 {
         let mut random = StdRng::seed_from_u64(seed);
         let folder = tempfile::tempdir().expect("a temporary folder");
@@ -19,7 +20,7 @@
         std::fs::write(folder.path().join(name), bytes).expect("a file");
         let opened = DiskFolder::open(folder.path()).and_then(|f| LogStore::open(f, 1_024));
         if let Ok((_, log)) = opened {
-            assert!(log.entries.is_empty(), "seed {seed}: entries from nowhere");
+            assert!(log.entries.is_empty(), "seed {seed}: entries recovered from random bytes");
         }
     }
 }
--- a/crates/storage/tests/log_store.rs
+++ b/crates/storage/tests/log_store.rs
@@ -1,4 +1,4 @@
-//! Failure tests of the store: crashes, damage, full disks, second daemons.
+//! Tests the store under failures: crashes, damaged files, full disks and concurrent daemons.
 
 use std::sync::Arc;
 
@@ -30,18 +30,19 @@
 
 fn reopen(
     disk: &FakeDisk,
-    suspects: &mut UnsyncedTails,
+    tails: &mut UnsyncedTails,
 ) -> Result<(LogStore, RecoveredLog), StorageError> {
-    LogStore::open_after_failure(DiskFolder::fake(disk.clone()), SMALL_SEGMENT, suspects)
+    LogStore::open_after_failure(DiskFolder::fake(disk.clone()), SMALL_SEGMENT, tails)
 }
 
-fn after_loss_of_power(disk: &FakeDisk, seed: u64) -> RecoveredLog {
+/// Simulates a power loss and returns the log that the store then recovers.
+fn recover_after_power_loss(disk: &FakeDisk, seed: u64) -> RecoveredLog {
     disk.crash(&mut StdRng::seed_from_u64(seed));
     let (_, log) = open(disk).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
     log
 }
 
-/// A disk with one entry, and the store that wrote it.
+/// Returns a disk with one entry and the store that wrote it.
 fn with_one_entry() -> (FakeDisk, LogStore) {
     let disk = FakeDisk::default();
     let (mut store, _) = open(&disk).expect("an empty disk");
@@ -58,7 +59,7 @@
 }
 
 #[test]
-fn what_was_appended_survives_a_crash() {
+fn appended_entries_survive_a_crash() {
     let disk = FakeDisk::default();
     let (mut store, _) = open(&disk).expect("an empty disk");
     store.append(&[hard(3), entry(1, 3), entry(2, 3)]).expect("room");
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn an_entry_replaces_its_successors() {
+fn an_entry_at_an_earlier_index_replaces_all_later_entries() {
     let disk = FakeDisk::default();
     let (mut store, _) = open(&disk).expect("an empty disk");
     store.append(&[entry(1, 1), entry(2, 1), entry(3, 1)]).expect("room");
@@ -81,7 +82,7 @@
 }
 
 #[test]
-fn a_torn_last_frame_is_cut() {
+fn a_torn_last_frame_is_truncated() {
     let disk = FakeDisk::default();
     let (mut store, _) = open(&disk).expect("an empty disk");
     store.append(&[entry(1, 1)]).expect("room");
@@ -89,13 +90,13 @@
     let length = disk.length(&name).expect("a segment");
     store.append(&[entry(2, 1)]).expect("room");
     disk.damage(&name, length + 10);
-    let (_, log) = open(&disk).expect("a torn tail is no error");
+    let (_, log) = open(&disk).expect("a torn tail is truncated");
     assert_eq!(indexes(&log), [1]);
     assert!(log.cut_bytes > 0);
 }
 
 #[test]
-fn damage_before_a_good_frame_is_an_error_that_names_the_place() {
+fn damage_before_a_good_frame_is_an_error_with_file_and_offset() {
     let disk = FakeDisk::default();
     let (mut store, _) = open(&disk).expect("an empty disk");
     let name = newest_segment(&disk);
@@ -103,7 +104,7 @@
     store.append(&[entry(1, 1)]).expect("room");
     store.append(&[entry(2, 1)]).expect("room");
     disk.damage(&name, start + 12);
-    let error = open(&disk).expect_err("damage must not be cut");
+    let error = open(&disk).expect_err("damaged synced data must not be truncated");
     let StorageError::Damaged { file, offset, .. } = &error else { panic!("{error}") };
     assert_eq!((file.as_str(), *offset), (name.as_str(), start as u64));
     assert!(error.to_string().contains("start this voter with an empty one"), "{error}");
@@ -122,7 +123,7 @@
 }
 
 #[test]
-fn a_missing_segment_is_an_error() {
+fn a_missing_segment_is_reported_as_damage() {
     let folder = tempfile::tempdir().expect("a temporary folder");
     let open = || LogStore::open(DiskFolder::open(folder.path())?, SMALL_SEGMENT);
     let (mut store, _) = open().expect("an empty folder");
@@ -139,14 +140,14 @@
 }
 
 #[test]
-fn a_snapshot_replaces_the_segments_that_it_covers() {
+fn a_snapshot_allows_removal_of_the_segments_that_it_covers() {
     let disk = FakeDisk::default();
     let (mut store, _) = open(&disk).expect("an empty disk");
     (1..=30).for_each(|index| store.append(&[entry(index, 1)]).expect("room"));
     let segments = disk.list().len();
     let meta = SnapshotMeta { index: LogIndex(25), term: LeaderTerm(1), voters: vec![1] };
     store.save_snapshot(&meta, b"state").expect("room");
-    store.compact(LogIndex(25), LogIndex(25)).expect("removable");
+    store.compact(LogIndex(25), LogIndex(25)).expect("the files can be removed");
     assert!(disk.list().len() < segments);
     disk.crash(&mut StdRng::seed_from_u64(2));
     let (_, log) = open(&disk).expect("a whole log");
@@ -163,7 +164,7 @@
 }
 
 #[test]
-fn a_full_disk_is_a_clear_error_and_leaves_the_state_intact() {
+fn a_full_disk_gives_an_error_with_a_remedy_and_keeps_earlier_entries() {
     let disk = FakeDisk::default();
     let (mut store, _) = open(&disk).expect("an empty disk");
     store.append(&[entry(1, 1)]).expect("room");
@@ -172,7 +173,7 @@
     assert!(error.to_string().contains("free space"), "{error}");
     assert!(matches!(store.append(&[entry(2, 1)]), Err(StorageError::Poisoned)));
     disk.set_free_bytes(None);
-    let (_, log) = open(&disk).expect("the rest is whole");
+    let (_, log) = open(&disk).expect("the earlier entries are intact");
     assert_eq!(indexes(&log), [1]);
 }
 
@@ -186,7 +187,7 @@
 }
 
 #[test]
-fn a_folder_that_cannot_be_made_is_a_clear_error() {
+fn a_folder_that_cannot_be_created_gives_an_error_with_the_operation() {
     let folder = tempfile::tempdir().expect("a temporary folder");
     let file = folder.path().join("file");
     std::fs::write(&file, b"").expect("a file");
@@ -194,9 +195,9 @@
     assert!(error.to_string().contains("create folder"), "{error}");
 }
 
-/// Crashes at random operations and compares with what was acknowledged.
+/// Crashes at random operations and checks that recovery returns every acknowledged entry.
 #[test]
-fn random_crashes_lose_nothing_that_was_acknowledged() {
+fn random_crashes_keep_all_acknowledged_entries() {
     for seed in 0..500 {
         let mut random = StdRng::seed_from_u64(seed);
         let disk = FakeDisk::default();
@@ -204,9 +205,12 @@
         let mut base = 0;
         for _ in 0..6 {
             let (mut store, log) = open(&disk).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
-            let kept = log.last_index().0;
-            assert!(kept >= acknowledged, "seed {seed}: {kept} kept of {acknowledged}");
-            acknowledged = kept;
+            let recovered = log.last_index().0;
+            assert!(
+                recovered >= acknowledged,
+                "seed {seed}: {recovered} recovered of {acknowledged}"
+            );
+            acknowledged = recovered;
             disk.fail_after(random.random_range(1..60));
             loop {
                 let done = if random.random_bool(0.1) && acknowledged > base {
@@ -230,61 +234,63 @@
     }
 }
 
-/// What was seen: after a loss of power everywhere, with one disk of three lost, no daemon had a leader again.
-/// How it came about: earlier, the processes of all voters had been killed while documents came in quick succession.
-/// A process killed between the write of a frame and its sync leaves the frame in the kernel's memory, and the next
-/// start reads it as if it were durable. Its later frames go into a new segment, so the old one is never synced; a
-/// loss of power then tears the old segment, which is refused as damaged at every start.
-/// Proof: the frames of this test, and a kill followed by a loss of power on real processes.
+/// Guards against a recovered frame that is not durable. A process killed between the write of a
+/// frame and its sync leaves the frame in the page cache, and the next start reads it as good.
+/// Later frames go into a new segment, so the old segment is never synced. A power loss then tears
+/// it, and every later start refuses it as damaged. With one disk of three lost as well, the
+/// cluster could not elect a leader after a power loss of all voters, whose processes had been
+/// killed earlier while documents arrived in quick succession. A kill followed by a power loss on
+/// real processes shows the same failure.
 #[test]
-fn a_frame_read_after_a_kill_survives_a_later_loss_of_power() {
+fn a_frame_recovered_after_a_kill_survives_a_later_power_loss() {
     for seed in 0..50 {
         let (disk, mut store) = with_one_entry();
-        // The write is done, and the process ends before the sync.
+        // The write succeeds, and the process ends before the sync.
         disk.fail_after(1);
-        store.append(&[entry(2, 3)]).expect_err("the sync did not come about");
+        store.append(&[entry(2, 3)]).expect_err("the sync must fail");
         disk.kill_process();
         let (mut store, log) = open(&disk).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
-        assert_eq!(indexes(&log), [1, 2], "a kill loses nothing that was written");
+        assert_eq!(indexes(&log), [1, 2], "a kill must not lose written frames");
         store.append(&[entry(3, 3)]).expect("room");
-        let log = after_loss_of_power(&disk, seed);
+        let log = recover_after_power_loss(&disk, seed);
         assert_eq!(indexes(&log), [1, 2, 3], "seed {seed}");
     }
 }
 
-/// The same, where the process ends between the write and the sync of a new segment's first frame.
+/// Guards against the same failure if the process is killed between the write and the sync of the
+/// first frame of a new segment.
 #[test]
-fn a_segment_begun_before_a_kill_survives_a_later_loss_of_power() {
+fn a_segment_started_before_a_kill_survives_a_later_power_loss() {
     for seed in 0..50 {
         let (disk, _) = with_one_entry();
         disk.kill_process();
         disk.fail_after(1);
-        open(&disk).expect_err("the first frame's sync did not come about");
+        open(&disk).expect_err("the sync of the first frame must fail");
         disk.kill_process();
         let (mut store, _) = open(&disk).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
         store.append(&[entry(2, 3)]).expect("room");
-        let log = after_loss_of_power(&disk, seed);
+        let log = recover_after_power_loss(&disk, seed);
         assert_eq!(indexes(&log), [1, 2], "seed {seed}");
         assert_eq!(log.hard.term, LeaderTerm(3));
     }
 }
 
-/// Ends processes at random operations, with and without a loss of power, and compares with what was acknowledged
-/// and with what an earlier start has read: both must last.
+/// Kills processes at random operations, with and without a power loss, and checks that recovery
+/// returns every entry that was acknowledged or returned by an earlier recovery.
 #[test]
-fn random_kills_and_losses_of_power_lose_nothing_that_was_shown() {
+fn random_kills_and_power_losses_keep_all_acknowledged_and_recovered_entries() {
     for seed in 0..500 {
         let mut random = StdRng::seed_from_u64(seed);
         let disk = FakeDisk::default();
-        let mut shown: u64 = 0;
+        let mut observed: u64 = 0;
         for _ in 0..10 {
             disk.fail_after(random.random_range(0..12));
             if let Ok((mut store, log)) = open(&disk) {
-                let kept = log.last_index().0;
-                assert!(kept >= shown, "seed {seed}: {kept} kept of {shown}");
-                shown = kept;
-                while store.append(&[entry(shown + 1, 1)]).is_ok() {
-                    shown += 1;
+                let recovered = log.last_index().0;
+                assert!(recovered >= observed, "seed {seed}: {recovered} recovered of {observed}");
+                observed = recovered;
+                while store.append(&[entry(observed + 1, 1)]).is_ok() {
+                    observed += 1;
                 }
             }
             disk.kill_process();
@@ -292,45 +298,47 @@
                 disk.crash(&mut random);
             }
             let (_, log) = open(&disk).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
-            let kept = log.last_index().0;
-            assert!(kept >= shown, "seed {seed}: {kept} kept of {shown}");
+            let recovered = log.last_index().0;
+            assert!(recovered >= observed, "seed {seed}: {recovered} recovered of {observed}");
         }
     }
 }
 
-/// The same cause at a disk that fails: after a failed sync the kernel may drop the bytes, which can still be read, and a
-/// second sync succeeds without them. What was read again then is not durable, whatever is synced later.
+/// Guards against reuse of a frame whose sync failed. After a failed sync the kernel may drop the
+/// bytes, which can still be read, and a second sync succeeds without writing them. A frame read
+/// after that is not durable, whatever is synced later.
 #[test]
-fn a_frame_whose_sync_failed_is_not_built_on() {
+fn a_frame_whose_sync_failed_is_truncated_when_the_store_reopens() {
     for seed in 0..50 {
         let (disk, mut store) = with_one_entry();
         disk.fail_after(1);
-        store.append(&[entry(2, 3)]).expect_err("the sync failed");
-        let mut suspects = store.unsynced_tails();
-        reopen(&disk, &mut suspects).expect_err("the disk still fails");
-        disk.work_again();
-        let (mut store, log) = reopen(&disk, &mut suspects).expect("the disk works again");
+        store.append(&[entry(2, 3)]).expect_err("the sync must fail");
+        let mut tails = store.unsynced_tails();
+        reopen(&disk, &mut tails).expect_err("the disk must still fail");
+        disk.clear_failure();
+        let (mut store, log) = reopen(&disk, &mut tails).expect("the disk works again");
         let next = log.last_index().0 + 1;
         store.append(&[entry(next, 3)]).expect("room");
-        let log = after_loss_of_power(&disk, seed);
+        let log = recover_after_power_loss(&disk, seed);
         assert_eq!(log.last_index().0, next, "seed {seed}");
     }
 }
 
-/// The same, where the disk fails as a start begins its segment, once and again.
+/// Guards against the same failure if the disk fails twice in succession while the store opens and
+/// starts a segment.
 #[test]
-fn a_segment_whose_first_sync_failed_is_not_built_on() {
+fn a_segment_whose_first_sync_failed_is_truncated_when_the_store_reopens() {
     for (seed, operations) in (0..50).zip([1, 2, 3].into_iter().cycle()) {
         let (disk, store) = with_one_entry();
-        let mut suspects = store.unsynced_tails();
+        let mut tails = store.unsynced_tails();
         for _ in 0..2 {
             disk.fail_after(operations);
-            reopen(&disk, &mut suspects).expect_err("the disk fails");
-            disk.work_again();
+            reopen(&disk, &mut tails).expect_err("the disk must fail");
+            disk.clear_failure();
         }
-        let (mut store, _) = reopen(&disk, &mut suspects).expect("the disk works again");
+        let (mut store, _) = reopen(&disk, &mut tails).expect("the disk works again");
         store.append(&[entry(2, 3)]).expect("room");
-        let log = after_loss_of_power(&disk, seed);
+        let log = recover_after_power_loss(&disk, seed);
         assert_eq!(indexes(&log), [1, 2], "seed {seed}");
     }
 }
