--- a/crates/gateway/src/replica/mod.rs
+++ b/crates/gateway/src/replica/mod.rs
@@ -19,7 +19,7 @@
     PersistBatch,
 };
 use oriolepass_routing::{DrainRegister, RoutingText};
-use oriolepass_storage::{RecoveredLog, StorageError, SuspectTails};
+use oriolepass_storage::{RecoveredLog, StorageError, UnsyncedTails};
 use oriolepass_units::{InstanceId, LeaderTerm, LogIndex, MonotonicTime};
 use tokio::sync::mpsc::UnboundedSender;
 
@@ -126,7 +126,7 @@
     running: Option<RunningReplica>,
     reopen_at: MonotonicTime,
     /// Data that a failed sync left on the disk, to be cut off before the disk is read again.
-    suspects: SuspectTails,
+    suspects: UnsyncedTails,
     /// The state recovered by the last start, until it has been logged.
     recovery: Option<RecoveryNote>,
     watch: LeaderWatch,
@@ -146,7 +146,7 @@
             opened: None,
             running: None,
             reopen_at: MonotonicTime::ZERO,
-            suspects: SuspectTails::default(),
+            suspects: UnsyncedTails::default(),
             recovery: None,
             watch: LeaderWatch::default(),
         }
@@ -257,7 +257,7 @@
         let mut effects = ReplicaEffects::default();
         match report {
             StorageReport::Opened(recovered) => {
-                self.suspects = SuspectTails::default();
+                self.suspects = UnsyncedTails::default();
                 let opening = self.opening.take();
                 self.opened = opening.map(|batches| OpenedStore { recovered, batches });
                 (effects, None)
--- a/crates/gateway/src/replica/storage.rs
+++ b/crates/gateway/src/replica/storage.rs
@@ -8,7 +8,7 @@
 use std::thread::JoinHandle;
 
 use oriolepass_consensus::PersistBatch;
-use oriolepass_storage::{DiskFolder, LogStore, RecoveredLog, StorageError, SuspectTails};
+use oriolepass_storage::{DiskFolder, LogStore, RecoveredLog, StorageError, UnsyncedTails};
 use tokio::sync::mpsc::UnboundedSender;
 
 /// The maximum number of batches in one sync.
@@ -26,14 +26,14 @@
     Synced(u64),
     /// The disk failed, and the thread ends. The contents of the disk are unknown, so the replica has
     /// to be read again, without the data that appears durable but was not synced.
-    Failed(StorageError, SuspectTails),
+    Failed(StorageError, UnsyncedTails),
 }
 
 /// The inputs and outputs of the storage thread.
 pub(crate) struct StorageThread {
     pub(crate) folder: PathBuf,
     /// Data that an earlier thread wrote to the disk and did not sync.
-    pub(crate) suspects: SuspectTails,
+    pub(crate) suspects: UnsyncedTails,
     pub(crate) batches: mpsc::Receiver<PersistBatch>,
     /// Unbounded, but holds at most one report for each batch and two others.
     pub(crate) reports: UnboundedSender<StorageReport>,
@@ -50,8 +50,9 @@
     }
 
     fn run(mut self) {
-        let opened = DiskFolder::open(&self.folder)
-            .and_then(|folder| LogStore::open_after(folder, SEGMENT_BYTES, &mut self.suspects));
+        let opened = DiskFolder::open(&self.folder).and_then(|folder| {
+            LogStore::open_after_failure(folder, SEGMENT_BYTES, &mut self.suspects)
+        });
         match opened {
             Ok((store, recovered)) => {
                 if self.report(StorageReport::Opened(recovered)) {
@@ -79,7 +80,7 @@
                 group.push(next);
             }
             if let Err(error) = PersistBatch::write_group(&mut store, &group) {
-                self.report(StorageReport::Failed(error, store.suspect_tails()));
+                self.report(StorageReport::Failed(error, store.unsynced_tails()));
                 return;
             }
             let last = group.last().map_or(0, |batch| batch.sequence);
