--- a/crates/daemon/src/entry/driver.rs
+++ b/crates/daemon/src/entry/driver.rs
@@ -137,9 +137,9 @@
         events: mpsc::Sender<CallerEvent>,
     ) -> Self {
         let plan = RequestPlan { repeatable: request.claim.is_none(), deadline: request.deadline };
-        let life = RequestLife::new(plan, shared.fresh_attempt());
+        let life = RequestLife::new(plan, shared.next_attempt_id());
         Self {
-            claim_nonce: shared.fresh_attempt(),
+            claim_nonce: shared.next_attempt_id(),
             shared,
             request: Arc::new(request),
             life,
@@ -197,7 +197,7 @@
 
     fn happened(&mut self, event: DriverEvent) {
         let shared = Arc::clone(&self.shared);
-        let next = || shared.fresh_attempt();
+        let next = || shared.next_attempt_id();
         match event {
             DriverEvent::Claimed(Some(answer)) => self.life.claim_answered(answer, next),
             DriverEvent::Claimed(None) => self.life.claim_failed(),
@@ -230,7 +230,7 @@
 
     fn broke(&mut self, failure: SendFailure) {
         let shared = &self.shared;
-        self.life.broke(failure, || shared.may_retry(), || shared.fresh_attempt());
+        self.life.broke(failure, || shared.spend_retry(), || shared.next_attempt_id());
     }
 
     fn on_line(&mut self, line: Option<StreamLine>) {
@@ -241,7 +241,7 @@
         };
         let shared = &self.shared;
         let before = self.life.strays();
-        self.life.line(line, || shared.may_retry(), || shared.fresh_attempt());
+        self.life.line(line, || shared.spend_retry(), || shared.next_attempt_id());
         self.shared.metrics.stray_pieces.inc_by(self.life.strays() - before);
     }
 
--- a/crates/daemon/src/http/completions.rs
+++ b/crates/daemon/src/http/completions.rs
@@ -53,7 +53,7 @@
     // The raw body is not needed any more; the prompt in `call` is counted by what it was.
     let frame = AnswerFrame {
         shape,
-        id: format!("req-{}", shared.fresh_attempt()),
+        id: format!("req-{}", shared.next_attempt_id()),
         options: call.options.clone(),
         prompt_tokens: call.prompt.tokens(),
     };
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -147,7 +147,7 @@
     }
 
     /// Makes an attempt id that no other daemon, start or request has.
-    pub(crate) fn fresh_attempt(&self) -> AttemptId {
+    pub(crate) fn next_attempt_id(&self) -> AttemptId {
         let number = self.attempts.fetch_add(1, Ordering::Relaxed);
         let text = format!("{}-{:x}-{number:x}", self.id(), self.boot);
         // A name of the greatest length leaves no room; then the random start alone must do.
@@ -185,7 +185,7 @@
     }
 
     /// Spends a retry of this daemon's budget.
-    pub(crate) fn may_retry(&self) -> bool {
+    pub(crate) fn spend_retry(&self) -> bool {
         let allowed = self.budget.lock().expect("no panic with the lock").spend();
         if allowed {
             self.metrics.retries.inc();
