--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts and ends the duties.
+//! Starts and stops the duties of a daemon.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener as StdListener};
@@ -25,29 +25,31 @@
 use crate::shared::{DaemonShared, SharedParts};
 use crate::{drain, http, member};
 
-/// Between two ticks of the log.
-const LOG_TICK: Duration = Duration::from_millis(10);
+/// The interval between ticks of the log thread.
+const LOG_TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Between two ticks of the home.
-const HOME_TICK: Duration = Duration::from_millis(50);
+/// The interval between ticks of the home thread.
+const HOME_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Bytes of entries, or of a snapshot, in one consensus message.
-const MESSAGE_BYTES: usize = 256 * 1024;
+/// The maximum size of the entries, or of the part of a snapshot, in one consensus message.
+const MAX_MESSAGE_BYTES: usize = 256 * 1024;
 
-/// Entries kept behind a snapshot: at 1 kB a change some 1 MB, and more than a follower misses
-/// in a restart of a few seconds at the brief's rate of changes.
+/// The number of entries retained behind a snapshot.
+///
+/// They take about 1 MB at 1 kB per change, and cover more entries than a follower misses during
+/// a restart of a few seconds at the required rate of changes.
 const TRAILING_ENTRIES: u64 = 1_024;
 
-/// Chores of the home that may wait.
-const CHORE_RING: usize = 4_096;
+/// The capacity of the ring for chores, which the home passes to the `control` thread.
+const CHORE_RING_CAPACITY: usize = 4_096;
 
-/// Connections of operators and of endpoints, each.
-const CONTROL_CONNECTIONS: usize = 4_096;
+/// The maximum number of connections on the operators' and on the endpoints' listener, each.
+const MAX_CONTROL_CONNECTIONS: usize = 4_096;
 
-/// The reason that a daemon did not start.
+/// The error that prevents a daemon from starting.
 #[derive(Debug, Error)]
 pub enum DaemonError {
-    /// An address cannot be listened on.
+    /// Binding a listening address failed.
     #[error("cannot listen on {address}: {source}; free it or change it under [listen]")]
     Listen {
         /// The address.
@@ -55,26 +57,27 @@
         /// The operating system's error.
         source: io::Error,
     },
-    /// The data folder cannot be used.
+    /// Opening the data folder failed.
     #[error(transparent)]
     Storage(#[from] StorageError),
-    /// A thread cannot be started.
+    /// Starting a thread failed.
     #[error("cannot start a thread: {0}; raise the limit of processes")]
     Thread(#[from] io::Error),
 }
 
 /// The sockets that a daemon listens on.
 ///
-/// They are bound before the daemon starts, so that tests can let the system choose the ports.
+/// The sockets are bound before the daemon starts, so that tests can let the operating system
+/// choose the ports.
 #[derive(Debug)]
 pub struct DaemonListeners {
-    /// For callers.
+    /// The listener for callers.
     pub callers: StdListener,
-    /// For operators.
+    /// The listener for operators.
     pub operators: StdListener,
-    /// For endpoints.
+    /// The listener for endpoints.
     pub endpoints: StdListener,
-    /// For other daemons.
+    /// The listener for other daemons.
     pub peers: StdListener,
 }
 
@@ -83,7 +86,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the first address that cannot be had.
+    /// Returns an error for the first address that cannot be bound.
     pub fn bind(listen: &ListenSettings) -> Result<Self, DaemonError> {
         let bind = |address: SocketAddr| {
             StdListener::bind(address).map_err(|source| DaemonError::Listen { address, source })
@@ -167,12 +170,12 @@
                 member_lease: shared.settings.timing.member_lease,
                 root_key: shared.settings.root_key_sha256.clone().map(KeyHash),
             })?);
-            timer.subscribe_every(LOG_TICK, move || handle.tick());
+            timer.subscribe_every(LOG_TICK_INTERVAL, move || handle.tick());
         }
-        let (chores, chore_inputs) = tokio::sync::mpsc::channel(CHORE_RING);
+        let (chores, chore_inputs) = tokio::sync::mpsc::channel(CHORE_RING_CAPACITY);
         threads.push(start_home(&shared, home_inputs, chores)?);
         let home = shared.home.clone();
-        timer.subscribe_every(HOME_TICK, move || home.tick());
+        timer.subscribe_every(HOME_TICK_INTERVAL, move || home.tick());
         threads.push(start_peers(&shared, listeners.peers, peer_commands, key, faults.clone())?);
         threads.push(start_member(&shared)?);
         threads.push(start_control(
@@ -185,70 +188,73 @@
         Ok(Self { shared, callers: Some(callers), threads, faults })
     }
 
-    /// Returns the addresses that it listens on: callers, operators, endpoints, peers.
+    /// Returns the addresses that the daemon listens on.
     pub fn addresses(&self) -> &MemberAddresses {
         &self.shared.addresses
     }
 
-    /// Returns its name.
+    /// Returns the id of the instance that runs the daemon.
     pub fn instance(&self) -> &InstanceId {
         self.shared.id()
     }
 
-    /// Returns the hook that cuts it off from other daemons.
+    /// Returns the test hook that isolates the daemon from its peers.
     pub fn peer_faults(&self) -> &PeerFaults {
         &self.faults
     }
 
-    /// Returns whether it serves requests with a current configuration.
+    /// Returns whether the daemon serves requests with a current configuration.
     pub fn is_ready(&self) -> bool {
         self.shared.is_ready()
     }
 
-    /// Returns whether an operator has asked it to leave.
-    pub fn is_asked_to_drain(&self) -> bool {
+    /// Returns whether an operator has requested that the daemon drains.
+    pub fn is_drain_requested(&self) -> bool {
         let view = self.shared.view.read();
         let member = view.members().get(self.shared.id());
         member.is_some_and(|m| m.draining && m.boot == self.shared.boot)
     }
 
-    /// Returns the handle that cuts a graceful shutdown short.
-    pub fn drain_hurry(&self) -> DrainHurry {
-        DrainHurry(Arc::clone(&self.shared))
+    /// Returns a handle that cuts a graceful shutdown short.
+    pub fn forced_drain_handle(&self) -> ForcedDrainHandle {
+        ForcedDrainHandle(Arc::clone(&self.shared))
     }
 
-    /// Leaves gracefully and stops; returns the number of requests that had to be given up.
+    /// Shuts down gracefully and returns the number of requests that were abandoned.
     ///
     /// # Panics
     ///
     /// Panics when called from within an async task.
     pub fn drain(mut self) -> u64 {
-        let callers = self.callers.take().expect("a daemon is ended once");
+        let callers = self.callers.take().expect("a daemon shuts down once");
         let given_up = callers.block_on(drain::leave(&self.shared));
-        self.end(callers);
+        self.shut_down(callers);
         given_up
     }
 
-    /// Ends what runs with the truth to each caller, and stops without waiting for more.
+    /// Abandons the running requests and stops, without waiting for them to complete; returns the
+    /// number of abandoned requests.
+    ///
+    /// Each caller receives the true outcome of its request.
     ///
     /// # Panics
     ///
     /// Panics when called from within an async task.
     pub fn stop(mut self) -> u64 {
-        let callers = self.callers.take().expect("a daemon is ended once");
+        let callers = self.callers.take().expect("a daemon shuts down once");
         let given_up = callers.block_on(drain::abandon(&self.shared));
-        self.end(callers);
+        self.shut_down(callers);
         given_up
     }
 
-    /// Ends at once, as a killed process does: nothing is told to anyone.
+    /// Stops at once and notifies nobody, as if the process were killed.
     pub fn kill(mut self) {
         if let Some(callers) = self.callers.take() {
-            self.end(callers);
+            self.shut_down(callers);
         }
     }
 
-    fn end(&mut self, callers: Runtime) {
+    fn shut_down(&mut self, callers: Runtime) {
         callers.shutdown_background();
         self.shared.stopping.send_replace(true);
         self.shared.timer.stop();
@@ -262,20 +268,22 @@
     }
 }
 
-/// Cuts a graceful shutdown short: what still runs is ended, with the truth to each caller.
-pub struct DrainHurry(Arc<DaemonShared>);
+/// Cuts a graceful shutdown short.
+///
+/// The requests that still run are abandoned; each caller receives the true outcome.
+pub struct ForcedDrainHandle(Arc<DaemonShared>);
 
-impl DrainHurry {
-    /// Does not wait any longer.
-    pub fn now(&self) {
-        self.0.hurry.send_replace(true);
+impl ForcedDrainHandle {
+    /// Ends the wait for running requests.
+    pub fn force(&self) {
+        self.0.force_drain.send_replace(true);
     }
 }
 
 impl Drop for Daemon {
     fn drop(&mut self) {
         if let Some(callers) = self.callers.take() {
-            self.end(callers);
+            self.shut_down(callers);
         }
     }
 }
@@ -286,14 +294,14 @@
         election: timing.election,
         heartbeat: timing.heartbeat,
         drift_percent: timing.drift_percent,
-        message_bytes: MESSAGE_BYTES,
+        message_bytes: MAX_MESSAGE_BYTES,
         first_voters: shared.settings.voters.iter().map(|v| v.instance.clone()).collect(),
         trailing_entries: TRAILING_ENTRIES,
         seed: rand::random(),
     }
 }
 
-/// Runs a future on a thread of its own until the daemon stops.
+/// Runs a future on a dedicated thread until the daemon stops.
 fn spawn_duty<F, Fut>(name: &str, shared: &Arc<DaemonShared>, duty: F) -> io::Result<JoinHandle<()>>
 where
     F: FnOnce(Arc<DaemonShared>) -> Fut + Send + 'static,
@@ -303,7 +311,7 @@
     let shared = Arc::clone(shared);
     std::thread::Builder::new().name(name.into()).spawn(move || {
         let local = LocalSet::new();
-        let stop = until_stopping(Arc::clone(&shared));
+        let stop = wait_until_stopping(Arc::clone(&shared));
         local.block_on(&runtime, async move {
             tokio::select! {
                 () = duty(shared) => {}
@@ -315,7 +323,7 @@
     })
 }
 
-async fn until_stopping(shared: Arc<DaemonShared>) {
+async fn wait_until_stopping(shared: Arc<DaemonShared>) {
     let _ = shared.stopping.subscribe().wait_for(|stopping| *stopping).await;
 }
 
@@ -357,8 +365,8 @@
         let operator_router = http::operator_router(&shared);
         let endpoint_router = http::endpoint_router(&shared);
         tokio::join!(
-            http::serve(operators, operator_router, CONTROL_CONNECTIONS),
-            http::serve(endpoints, endpoint_router, CONTROL_CONNECTIONS),
+            http::serve(operators, operator_router, MAX_CONTROL_CONNECTIONS),
+            http::serve(endpoints, endpoint_router, MAX_CONTROL_CONNECTIONS),
             run_chores(shared, chores),
         );
     })
@@ -375,7 +383,7 @@
     let listener = TcpListener::from_std(listener)?;
     drop(guard);
     let router = http::caller_router(shared);
-    // Each request has a connection; some more are open between requests.
+    // Each request occupies a connection; the factor 2 leaves room for idle connections.
     let limit = shared.settings.limits.max_requests.saturating_mul(2);
     let connections = usize::try_from(limit).unwrap_or(usize::MAX).min(1 << 20);
     runtime.spawn(http::serve(listener, router, connections));
--- a/crates/daemon/src/drain.rs
+++ b/crates/daemon/src/drain.rs
@@ -1,9 +1,12 @@
-//! Leaving gracefully.
+//! Shuts the daemon down gracefully.
 //!
-//! The order matters. First the daemon drops out of the address answers everywhere. Then it
-//! serves on until every answer that names it has expired, because callers may still connect.
-//! Then it takes nothing new and ends what it has. Only then does it give up its part in the
-//! log and stop.
+//! The order of the steps matters:
+//!
+//! 1. All daemons remove this daemon from their address answers.
+//! 2. The daemon continues to serve until every answer that names it has expired, because callers
+//!    may still connect.
+//! 3. It accepts no new requests and completes or abandons the running ones.
+//! 4. It leaves the members, hands over leadership of the log and stops.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -16,40 +19,41 @@
 use crate::peers::PeerQuestion;
 use crate::shared::{DaemonShared, DrainPhase};
 
-/// How long the other daemons may take to learn that this one leaves.
-const SPREAD_TIME: Duration = Duration::from_secs(2);
+/// The time allowed for the drain to reach all other daemons.
+const DRAIN_PROPAGATION_TIME: Duration = Duration::from_secs(2);
 
-/// Between two looks at what still runs.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// The interval between checks for running requests.
+const RUNNING_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long telling the leader may take.
-const TELL_PATIENCE: Duration = Duration::from_secs(3);
+/// The timeout of a proposal to the leader.
+const LEADER_CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long a request that is given up may take to tell its caller so.
-const ABANDON_TIME: Duration = Duration::from_millis(500);
+/// The time allowed for abandoned requests to report their outcome to their callers.
+const ABANDON_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Leaves; returns the number of requests that had to be given up.
+/// Drains the daemon and returns the number of requests that were abandoned.
 pub(crate) async fn leave(shared: &Arc<DaemonShared>) -> u64 {
     info!("draining", kv: { running = shared.running.load(Ordering::SeqCst) });
-    let until = shared.now() + shared.settings.timing.drain;
+    let deadline = shared.now() + shared.settings.timing.drain;
     shared.set_drain_phase(DrainPhase::Leaving);
-    tell(shared, MemberCommand::Drain(shared.id().clone())).await;
-    let spread = SPREAD_TIME.min(shared.settings.timing.address_keep);
-    let serve_on = shared.settings.timing.address_keep + spread;
-    let left = until.since(shared.now());
-    let mut hurry = shared.hurry.subscribe();
+    propose_member_command(shared, MemberCommand::Drain(shared.id().clone())).await;
+    let propagation = DRAIN_PROPAGATION_TIME.min(shared.settings.timing.address_keep);
+    let serve_time = shared.settings.timing.address_keep + propagation;
+    let remaining = deadline.since(shared.now());
+    let mut force_drain = shared.force_drain.subscribe();
     tokio::select! {
-        () = tokio::time::sleep(serve_on.min(left)) => {}
-        _ = hurry.wait_for(|hurry| *hurry) => {}
+        () = tokio::time::sleep(serve_time.min(remaining)) => {}
+        _ = force_drain.wait_for(|force_drain| *force_drain) => {}
     }
     shared.set_drain_phase(DrainPhase::Closed);
-    let busy = || shared.running.load(Ordering::SeqCst) > 0;
-    while busy() && shared.now() < until && !*hurry.borrow() {
-        tokio::time::sleep(LOOK_EVERY).await;
+    let has_running = || shared.running.load(Ordering::SeqCst) > 0;
+    while has_running() && shared.now() < deadline && !*force_drain.borrow() {
+        tokio::time::sleep(RUNNING_POLL_INTERVAL).await;
     }
     let given_up = abandon(shared).await;
     let epoch = shared.lease_epoch();
-    tell(shared, MemberCommand::Remove { instance: shared.id().clone(), epoch }).await;
+    propose_member_command(shared, MemberCommand::Remove { instance: shared.id().clone(), epoch })
+        .await;
     if let Some(log) = &shared.log {
         log.hand_over().await;
     }
@@ -57,20 +61,23 @@
     given_up
 }
 
-/// Ends what still runs, with the truth to each caller; returns how many there were.
+/// Abandons the running requests and returns their number.
+///
+/// Each caller receives the true outcome of its request.
 pub(crate) async fn abandon(shared: &DaemonShared) -> u64 {
     let given_up = shared.running.load(Ordering::SeqCst);
     if given_up > 0 {
         shared.abandon.send_replace(true);
-        let until = shared.now() + ABANDON_TIME;
-        while shared.running.load(Ordering::SeqCst) > 0 && shared.now() < until {
-            tokio::time::sleep(LOOK_EVERY).await;
+        let deadline = shared.now() + ABANDON_TIMEOUT;
+        while shared.running.load(Ordering::SeqCst) > 0 && shared.now() < deadline {
+            tokio::time::sleep(RUNNING_POLL_INTERVAL).await;
         }
     }
     given_up
 }
 
-async fn tell(shared: &DaemonShared, command: MemberCommand) {
+/// Proposes a member command to the leader. A failure does not stop the drain.
+async fn propose_member_command(shared: &DaemonShared, command: MemberCommand) {
     let question = PeerQuestion::Propose(ReplicatedCommand::Member(command));
-    let _ = LeaderClient::default().ask(shared, &question, TELL_PATIENCE).await;
+    let _ = LeaderClient::default().ask(shared, &question, LEADER_CALL_TIMEOUT).await;
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,20 +1,21 @@
-//! The daemon `oriolepassd`, as a library so that tests and the demo run several in a process.
+//! Implements the daemon `oriolepassd` as a library, so that tests and the demo can run several
+//! daemons in one process.
 //!
-//! Decisions live in the sans-IO packages. Here are the duties that feed them, each a thread
-//! with a bounded ring in front of it:
+//! The sans-IO packages make the decisions. This crate runs the duties that feed them. A duty is
+//! a task with its own thread, and a ring is the bounded queue of messages in front of it:
 //!
-//! | thread | duty | what waits in its ring | when the ring is full |
+//! | thread | duty | messages in its ring | when the ring is full |
 //! |---|---|---|---|
-//! | `timer` | calls back at deadlines | (a queue ordered by time) | bounded by requests |
-//! | `log` | the replica of the log, on voters | messages, proposals, questions | refused: no quorum |
-//! | `storage` | syncs the log's batches | batches | the log waits: it has nothing to lose |
-//! | `peers` | connections to other daemons | questions and messages | refused, or dropped where the protocol sends again |
-//! | `member` | heartbeats to the leader, following the configuration | nothing | |
-//! | `home` | grants endpoints' memory | asks, releases, reports | asks are refused; releases wait outside |
-//! | `callers` (a pool) | callers' listener, requests, calls to endpoints | requests | refused: overloaded |
-//! | `control` | operators' and endpoints' listeners | calls | the listener's queue |
+//! | `timer` | runs callbacks at their deadlines | (a queue ordered by time) | bounded by the number of requests |
+//! | `log` | runs the replica of the log, on voters | messages, proposals, queries | requests are refused: no quorum |
+//! | `storage` | syncs the log's batches to disk | batches | the `log` thread blocks, which loses nothing |
+//! | `peers` | runs the connections to other daemons | queries and messages | queries are refused; messages that the protocol resends are dropped |
+//! | `member` | sends heartbeats to the leader, follows the configuration | (no ring) | |
+//! | `home` | grants memory of endpoints | grant requests, releases, reports | grant requests are refused; releases wait outside the ring |
+//! | `callers` (a pool) | runs the callers' listener, requests, calls to endpoints | requests | requests are refused: overloaded |
+//! | `control` | runs the operators' and endpoints' listeners | calls | calls wait in the listener's queue |
 //!
-//! `docs/ARCHITECTURE.md` follows a request through them.
+//! `docs/ARCHITECTURE.md` describes the path of a request through the duties.
 
 mod address_book;
 mod daemon;
@@ -31,6 +32,6 @@
 mod shared;
 mod view;
 
-pub use daemon::{Daemon, DaemonError, DaemonListeners, DrainHurry};
+pub use daemon::{Daemon, DaemonError, DaemonListeners, ForcedDrainHandle};
 pub use logging::init_logging;
 pub use peers::PeerFaults;
--- a/crates/daemon/src/log/driver.rs
+++ b/crates/daemon/src/log/driver.rs
@@ -1,4 +1,4 @@
-//! The log's thread: feeds the consensus node and applies what it commits.
+//! Runs the `log` thread, which feeds the consensus node and applies committed entries.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::{Arc, Weak};
@@ -17,23 +17,25 @@
 use oriolepass_units::{InstanceId, LeaderTerm, LeaseEpoch, LogIndex, MonotonicTime};
 use spdlog::info;
 
-use super::leases::MemberWatch;
+use super::leases::MemberLeaseTracker;
 use super::{LogInput, Reply, storage_duty};
 use crate::logging::duty_failed;
-use crate::peers::{LeaderAnswer, LeaderReport, LogFailure, MemberBeat, MemberLease, PeerHandle};
+use crate::peers::{
+    LeaderAnswer, LeaderReport, LogFailure, MemberHeartbeat, MemberLease, PeerHandle,
+};
 use crate::shared::DaemonShared;
 use crate::view::ViewUpdate;
 
-/// Batches that wait for the storage thread.
-const STORAGE_RING: usize = 256;
+/// The capacity of the ring of the `storage` thread, in batches.
+const STORAGE_RING_CAPACITY: usize = 256;
 
-/// Inputs taken in before the node's output is carried out.
-const MAX_INPUTS: usize = 512;
+/// The maximum number of inputs processed before the node's output is processed.
+const MAX_INPUTS_PER_ROUND: usize = 512;
 
-/// Entries applied between two snapshots.
-const SNAPSHOT_EVERY: u64 = 20_000;
+/// The number of entries applied between two snapshots.
+const SNAPSHOT_INTERVAL_ENTRIES: u64 = 20_000;
 
-/// What the log's thread needs.
+/// The components from which the `log` and `storage` threads are built.
 pub(crate) struct LogParts {
     pub(crate) shared: Weak<DaemonShared>,
     pub(crate) inputs: Receiver<LogInput>,
@@ -44,20 +46,20 @@
     pub(crate) root_key: Option<KeyHash>,
 }
 
-/// Starts the log's and the storage thread.
+/// Starts the `log` and the `storage` thread.
 ///
 /// # Errors
 ///
 /// Returns the operating system's error when a thread cannot be started.
 pub(crate) fn start_log(parts: LogParts) -> std::io::Result<Vec<JoinHandle<()>>> {
-    let (batches, to_sync) = bounded(STORAGE_RING);
-    // The storage thread never waits here: there are never more batches under way.
-    let (synced, acks) = bounded(STORAGE_RING + 2);
+    let (batches, to_sync) = bounded(STORAGE_RING_CAPACITY);
+    // The storage thread never blocks on this channel, because no more batches can be in flight.
+    let (synced, acks) = bounded(STORAGE_RING_CAPACITY + 2);
     let (peers, store) = (parts.peers.clone(), parts.store);
-    let counted = parts.shared.clone();
+    let metrics_owner = parts.shared.clone();
     let storage = std::thread::Builder::new().name("storage".into()).spawn(move || {
         storage_duty::run(store, &to_sync, &synced, &peers, || {
-            if let Some(shared) = counted.upgrade() {
+            if let Some(shared) = metrics_owner.upgrade() {
                 shared.metrics.log_syncs.inc();
             }
         });
@@ -67,9 +69,9 @@
         state: ReplicatedState::default(),
         peers: parts.peers,
         batches,
-        waiting: BTreeMap::new(),
+        pending_proposals: BTreeMap::new(),
         leader: None,
-        pending_joins: HashMap::new(),
+        join_proposed_at: HashMap::new(),
         member_lease: parts.member_lease,
         root_key: parts.root_key,
         shared: parts.shared,
@@ -80,10 +82,10 @@
     Ok(vec![storage, log])
 }
 
-/// What only the leader keeps.
-struct LeaderDuty {
+/// State kept only while this replica is the leader.
+struct LeaderState {
     term: LeaderTerm,
-    watch: MemberWatch,
+    leases: MemberLeaseTracker,
     bootstrapped: bool,
 }
 
@@ -92,9 +94,9 @@
     state: ReplicatedState,
     peers: PeerHandle,
     batches: Sender<PersistBatch>,
-    waiting: BTreeMap<LogIndex, (LeaderTerm, Reply<ApplyOutcome>)>,
-    leader: Option<LeaderDuty>,
-    pending_joins: HashMap<InstanceId, MonotonicTime>,
+    pending_proposals: BTreeMap<LogIndex, (LeaderTerm, Reply<ApplyOutcome>)>,
+    leader: Option<LeaderState>,
+    join_proposed_at: HashMap<InstanceId, MonotonicTime>,
     member_lease: Duration,
     root_key: Option<KeyHash>,
     shared: Weak<DaemonShared>,
@@ -104,14 +106,14 @@
     fn run(mut self, inputs: &Receiver<LogInput>, acks: &Receiver<u64>) {
         loop {
             let Some(shared) = self.shared.upgrade() else { return };
-            if !self.carry_out(&shared) {
+            if !self.process_output(&shared) {
                 return;
             }
             drop(shared);
             select! {
                 recv(inputs) -> input => match input {
                     Ok(input) => {
-                        if !self.take_in(input, inputs) {
+                        if !self.process_inputs(input, inputs) {
                             return;
                         }
                     }
@@ -128,19 +130,19 @@
         }
     }
 
-    /// Takes in one input and those that wait behind it; returns whether to go on.
-    fn take_in(&mut self, first: LogInput, inputs: &Receiver<LogInput>) -> bool {
+    /// Processes one input and those queued behind it; returns whether the thread continues.
+    fn process_inputs(&mut self, first: LogInput, inputs: &Receiver<LogInput>) -> bool {
         let Some(shared) = self.shared.upgrade() else { return false };
         let now = shared.now();
         let mut next = Some(first);
-        let mut taken = 0;
+        let mut processed = 0;
         while let Some(input) = next {
             match input {
                 LogInput::Stop => return false,
                 input => self.handle(now, input),
             }
-            taken += 1;
-            next = if taken < MAX_INPUTS { inputs.try_recv().ok() } else { None };
+            processed += 1;
+            next = if processed < MAX_INPUTS_PER_ROUND { inputs.try_recv().ok() } else { None };
         }
         true
     }
@@ -149,19 +151,19 @@
         match input {
             LogInput::Tick => {
                 self.node.tick(now);
-                self.lead(now);
+                self.run_leader_tasks(now);
             }
             LogInput::Message(envelope) => self.node.receive(now, envelope),
             LogInput::Propose(command, reply) => self.propose(command, reply),
-            LogInput::Beat(beat, reply) => self.beat(now, beat, reply),
+            LogInput::Heartbeat(heartbeat, reply) => self.heartbeat(now, heartbeat, reply),
             LogInput::Audit(after, limit, reply) => {
-                let answer = self.as_leader(now).map(|()| {
+                let answer = self.check_leader(now).map(|()| {
                     self.state.audit(after, usize::try_from(limit).unwrap_or(usize::MAX))
                 });
                 let _ = reply.send(answer);
             }
             LogInput::LeaderReport(reply) => {
-                let _ = reply.send(self.as_leader(now).map(|()| self.report()));
+                let _ = reply.send(self.check_leader(now).map(|()| self.report()));
             }
             LogInput::WantVoters(wanted, reply) => {
                 let answer = self.node.want_voters(wanted).map(|_| ());
@@ -181,7 +183,7 @@
         };
         LeaderReport {
             term: self.node.term(),
-            applied: self.leader.as_ref().map_or_else(Vec::new, |duty| duty.watch.applied()),
+            applied: self.leader.as_ref().map_or_else(Vec::new, |state| state.leases.applied()),
             voters: names(&voters.voters),
             learners: names(&voters.learners),
         }
@@ -192,8 +194,9 @@
         LogFailure::NotLeader { leader, term: self.node.term() }
     }
 
-    /// Succeeds only while this node surely is the one leader.
-    fn as_leader(&self, now: MonotonicTime) -> LeaderAnswer<()> {
+    /// Returns `Ok` only while this node holds the leader lease, which proves that no other leader
+    /// exists.
+    fn check_leader(&self, now: MonotonicTime) -> LeaderAnswer<()> {
         if self.node.holds_lease(now) {
             return Ok(());
         }
@@ -201,7 +204,8 @@
         Err(self.not_leader(leader))
     }
 
-    fn stamped(command: ReplicatedCommand) -> Arc<[u8]> {
+    /// Encodes a command with the current wall-clock time.
+    fn encode_stamped(command: ReplicatedCommand) -> Arc<[u8]> {
         let unix_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis());
         let unix_ms = u64::try_from(unix_ms).unwrap_or(u64::MAX);
         let bytes = postcard::to_stdvec(&StampedCommand { unix_ms, command });
@@ -209,9 +213,9 @@
     }
 
     fn propose(&mut self, command: ReplicatedCommand, reply: Reply<ApplyOutcome>) {
-        match self.node.propose(Self::stamped(command)) {
+        match self.node.propose(Self::encode_stamped(command)) {
             Ok((index, term)) => {
-                self.waiting.insert(index, (term, reply));
+                self.pending_proposals.insert(index, (term, reply));
             }
             Err(error) => {
                 let _ = reply.send(Err(self.not_leader(error.leader.as_ref())));
@@ -219,48 +223,56 @@
         }
     }
 
-    /// Proposes a command that nobody waits for.
-    fn propose_own(&mut self, command: ReplicatedCommand) {
-        let _ = self.node.propose(Self::stamped(command));
+    /// Proposes a command without a reply to a caller.
+    fn propose_without_reply(&mut self, command: ReplicatedCommand) {
+        let _ = self.node.propose(Self::encode_stamped(command));
     }
 
-    fn beat(&mut self, now: MonotonicTime, beat: MemberBeat, reply: Reply<MemberLease>) {
-        if let Err(failure) = self.as_leader(now) {
+    fn heartbeat(
+        &mut self,
+        now: MonotonicTime,
+        heartbeat: MemberHeartbeat,
+        reply: Reply<MemberLease>,
+    ) {
+        if let Err(failure) = self.check_leader(now) {
             let _ = reply.send(Err(failure));
             return;
         }
         let view = self.state.view();
-        let known = view.members().get(&beat.record.instance);
-        if let Some(member) = known.filter(|member| member.is_same_start(&beat.record)) {
+        let known = view.members().get(&heartbeat.record.instance);
+        if let Some(member) = known.filter(|member| member.is_same_start(&heartbeat.record)) {
             let lease = MemberLease { epoch: member.epoch, view_index: view.index() };
-            if let Some(duty) = &mut self.leader {
-                duty.watch.heard(now, &beat.record.instance, beat.applied);
+            if let Some(state) = &mut self.leader {
+                state.leases.record_heartbeat(now, &heartbeat.record.instance, heartbeat.applied);
             }
             let _ = reply.send(Ok(lease));
             return;
         }
-        if !beat.join {
+        if !heartbeat.join {
             let lease = MemberLease { epoch: LeaseEpoch::ZERO, view_index: view.index() };
             let _ = reply.send(Ok(lease));
             return;
         }
-        // It joins, or joins again; the next beat finds it. Its new lease counts from this sign
-        // of life: counted from the last one before it was away, it would end at once.
-        if let Some(duty) = &mut self.leader {
-            duty.watch.heard(now, &beat.record.instance, beat.applied);
+        // The member joins or rejoins; its next heartbeat finds the record. Its new lease starts at
+        // this heartbeat: if it started at the last heartbeat before an absence, it would expire at
+        // once.
+        if let Some(state) = &mut self.leader {
+            state.leases.record_heartbeat(now, &heartbeat.record.instance, heartbeat.applied);
         }
-        // One proposal at a time is enough.
-        let instance = beat.record.instance.clone();
-        let asked = self.pending_joins.get(&instance);
-        if asked.is_none_or(|at| now.since(*at) > Duration::from_millis(500)) {
-            self.pending_joins.insert(instance, now);
-            self.propose_own(ReplicatedCommand::Member(MemberCommand::Join(beat.record)));
+        // A repeated join proposal would be redundant while the first one is in flight.
+        let instance = heartbeat.record.instance.clone();
+        let proposed_at = self.join_proposed_at.get(&instance);
+        if proposed_at.is_none_or(|at| now.since(*at) > Duration::from_millis(500)) {
+            self.join_proposed_at.insert(instance, now);
+            self.propose_without_reply(ReplicatedCommand::Member(MemberCommand::Join(
+                heartbeat.record,
+            )));
         }
         let _ = reply.send(Err(LogFailure::Busy));
     }
 
-    /// Does what only a leader does: bootstrap and the members' leases.
-    fn lead(&mut self, now: MonotonicTime) {
+    /// Runs the tasks of the leader: the bootstrap and the expiry of member leases.
+    fn run_leader_tasks(&mut self, now: MonotonicTime) {
         if !self.node.holds_lease(now) {
             if self.node.role() != NodeRole::Leader {
                 self.leader = None;
@@ -268,36 +280,40 @@
             return;
         }
         let term = self.node.term();
-        if self.leader.as_ref().is_none_or(|duty| duty.term != term) {
+        if self.leader.as_ref().is_none_or(|state| state.term != term) {
             info!("leader", kv: { term = term.0 });
-            let watch = MemberWatch::new(now);
-            self.leader = Some(LeaderDuty { term, watch, bootstrapped: false });
+            let leases = MemberLeaseTracker::new(now);
+            self.leader = Some(LeaderState { term, leases, bootstrapped: false });
         }
-        let Some(duty) = &mut self.leader else { return };
-        if !std::mem::replace(&mut duty.bootstrapped, true) {
+        let Some(state) = &mut self.leader else { return };
+        if !std::mem::replace(&mut state.bootstrapped, true) {
             let empty = self.state.view().config_revision().0 == 0;
             if let Some(root_key) = self.root_key.clone().filter(|_| empty) {
-                self.propose_own(ReplicatedCommand::Bootstrap { root_key });
+                self.propose_without_reply(ReplicatedCommand::Bootstrap { root_key });
             }
         }
-        let Some(duty) = &mut self.leader else { return };
-        let expired = duty.watch.expired(now, self.state.view().members(), self.member_lease);
+        let Some(state) = &mut self.leader else { return };
+        let expired = state.leases.expired(now, self.state.view().members(), self.member_lease);
         for (instance, epoch) in expired {
-            self.propose_own(ReplicatedCommand::Member(MemberCommand::Remove { instance, epoch }));
+            self.propose_without_reply(ReplicatedCommand::Member(MemberCommand::Remove {
+                instance,
+                epoch,
+            }));
         }
     }
 
-    /// Carries out the node's output; returns whether the storage thread still runs.
-    fn carry_out(&mut self, shared: &DaemonShared) -> bool {
+    /// Processes the node's output; returns `false` if the thread must stop because the storage
+    /// thread has ended or a snapshot cannot be restored.
+    fn process_output(&mut self, shared: &DaemonShared) -> bool {
         let output = self.node.take_output();
         self.peers.send_consensus(output.send);
-        let lost = output.persist.is_some_and(|batch| self.batches.send(batch).is_err());
-        if lost {
+        let storage_ended = output.persist.is_some_and(|batch| self.batches.send(batch).is_err());
+        if storage_ended {
             duty_failed("log", &"the storage thread has ended");
             return false;
         }
-        if let Some(held) = output.restore {
-            match ReplicatedState::from_snapshot(&held.data) {
+        if let Some(snapshot) = output.restore {
+            match ReplicatedState::from_snapshot(&snapshot.data) {
                 Ok(state) => self.state = state,
                 Err(error) => {
                     duty_failed("log", &error);
@@ -313,7 +329,7 @@
         if applied_any {
             self.publish(shared);
         }
-        self.fail_lost();
+        self.fail_pending_proposals();
         shared.metrics.is_leader.set(i64::from(self.node.role() == NodeRole::Leader));
         true
     }
@@ -321,7 +337,7 @@
     fn apply(&mut self, shared: &DaemonShared, entry: &LogEntry) {
         let outcome = match &entry.payload {
             EntryPayload::Command(bytes) => {
-                let command = postcard::from_bytes(bytes).expect("an entry that a leader encoded");
+                let command = postcard::from_bytes(bytes).expect("an entry encoded by a leader");
                 self.state.apply(entry.index, &command)
             }
             EntryPayload::Voters(_) | EntryPayload::Empty => {
@@ -330,7 +346,7 @@
             }
         };
         shared.metrics.log_entries.inc();
-        if let Some((term, reply)) = self.waiting.remove(&entry.index) {
+        if let Some((term, reply)) = self.pending_proposals.remove(&entry.index) {
             let answer = if term == entry.term { Ok(outcome) } else { Err(LogFailure::Lost) };
             let _ = reply.send(answer);
         }
@@ -343,19 +359,20 @@
             None => ViewUpdate::Whole(Box::new(self.state.view().clone())),
         };
         shared.view.update(update);
-        shared.book.learn(self.state.view());
+        shared.book.update(self.state.view());
         let applied = self.state.applied();
-        if applied.0 >= self.node.base_index().0 + SNAPSHOT_EVERY {
+        if applied.0 >= self.node.base_index().0 + SNAPSHOT_INTERVAL_ENTRIES {
             self.node.take_snapshot(applied, self.state.to_snapshot());
         }
     }
 
-    /// Tells those whose proposals this node can no longer commit itself.
-    fn fail_lost(&mut self) {
-        if self.node.role() == NodeRole::Leader || self.waiting.is_empty() {
+    /// Fails the pending proposals once this node is no longer the leader, because it can no longer
+    /// commit them itself.
+    fn fail_pending_proposals(&mut self) {
+        if self.node.role() == NodeRole::Leader || self.pending_proposals.is_empty() {
             return;
         }
-        for (_, (_, reply)) in std::mem::take(&mut self.waiting) {
+        for (_, (_, reply)) in std::mem::take(&mut self.pending_proposals) {
             let _ = reply.send(Err(LogFailure::Lost));
         }
     }
--- a/crates/daemon/src/log/mod.rs
+++ b/crates/daemon/src/log/mod.rs
@@ -1,4 +1,7 @@
-//! The replica of the log: its thread, the storage thread behind it, and the handle in front.
+//! Runs the replica of the replicated log.
+//!
+//! The `log` thread drives the consensus node, the `storage` thread writes and syncs its batches,
+//! and the other duties use the replica through [`LogHandle`].
 
 mod driver;
 mod leases;
@@ -11,21 +14,21 @@
 use oriolepass_units::InstanceId;
 use tokio::sync::oneshot;
 
-use crate::peers::{LeaderAnswer, LeaderReport, LogFailure, MemberBeat, MemberLease};
+use crate::peers::{LeaderAnswer, LeaderReport, LogFailure, MemberHeartbeat, MemberLease};
 
 pub(crate) use driver::{LogParts, start_log};
 
-/// Messages and questions that wait for the log's thread.
+/// The capacity of the ring of the `log` thread.
 const RING_CAPACITY: usize = 8_192;
 
 type Reply<T> = oneshot::Sender<LeaderAnswer<T>>;
 
-/// What the log's thread takes in.
+/// An input of the `log` thread.
 pub(crate) enum LogInput {
     Tick,
     Message(Envelope),
     Propose(ReplicatedCommand, Reply<ApplyOutcome>),
-    Beat(MemberBeat, Reply<MemberLease>),
+    Heartbeat(MemberHeartbeat, Reply<MemberLease>),
     Audit(u64, u32, Reply<AuditTrailView>),
     LeaderReport(Reply<LeaderReport>),
     WantVoters(Vec<InstanceId>, Reply<()>),
@@ -33,34 +36,36 @@
     Stop,
 }
 
-/// Asks the log's thread.
+/// Sends inputs to the `log` thread.
 #[derive(Clone)]
 pub(crate) struct LogHandle {
     ring: Sender<LogInput>,
 }
 
 impl LogHandle {
-    /// Creates the handle and the ring's other end.
+    /// Creates the handle and the receiving end of its ring.
     pub(crate) fn new() -> (Self, Receiver<LogInput>) {
         let (ring, inputs) = bounded(RING_CAPACITY);
         (Self { ring }, inputs)
     }
 
+    /// Returns the number of inputs queued in the ring.
     pub(crate) fn depth(&self) -> usize {
         self.ring.len()
     }
 
-    /// Delivers a consensus message; one that does not fit is dropped, as by the network.
+    /// Delivers a consensus message. If the ring is full, the message is dropped, as a network may
+    /// drop it.
     pub(crate) fn deliver(&self, envelope: Envelope) {
         let _ = self.ring.try_send(LogInput::Message(envelope));
     }
 
-    /// Lets the thread see that time has passed.
+    /// Notifies the thread that time has passed.
     pub(crate) fn tick(&self) {
         let _ = self.ring.try_send(LogInput::Tick);
     }
 
-    /// Ends the thread.
+    /// Stops the thread.
     pub(crate) fn stop(&self) {
         let _ = self.ring.send(LogInput::Stop);
     }
@@ -75,8 +80,8 @@
         self.ask(|reply| LogInput::Propose(command, reply)).await
     }
 
-    pub(crate) async fn beat(&self, beat: MemberBeat) -> LeaderAnswer<MemberLease> {
-        self.ask(|reply| LogInput::Beat(beat, reply)).await
+    pub(crate) async fn heartbeat(&self, heartbeat: MemberHeartbeat) -> LeaderAnswer<MemberLease> {
+        self.ask(|reply| LogInput::Heartbeat(heartbeat, reply)).await
     }
 
     pub(crate) async fn audit(&self, after: u64, limit: u32) -> LeaderAnswer<AuditTrailView> {
@@ -91,7 +96,7 @@
         self.ask(|reply| LogInput::WantVoters(wanted, reply)).await
     }
 
-    /// Gives up leadership in favour of another voter, if this daemon leads.
+    /// Transfers leadership to another voter if this daemon is the leader.
     pub(crate) async fn hand_over(&self) -> bool {
         let (reply, answer) = oneshot::channel();
         if self.ring.try_send(LogInput::HandOver(reply)).is_err() {
--- a/crates/daemon/src/log/storage_duty.rs
+++ b/crates/daemon/src/log/storage_duty.rs
@@ -1,4 +1,4 @@
-//! The storage thread: one sync for all batches that wait.
+//! Runs the storage duty, which writes all queued batches with one sync.
 
 use crossbeam_channel::{Receiver, Sender};
 use oriolepass_consensus::PersistBatch;
@@ -7,13 +7,14 @@
 use crate::logging::duty_failed;
 use crate::peers::PeerHandle;
 
-/// Batches synced together at most.
-const MAX_GROUP: usize = 128;
+/// The maximum number of batches per sync.
+const MAX_BATCHES_PER_SYNC: usize = 128;
 
-/// Syncs batches until the ring's other end is gone or the disk fails.
+/// Syncs batches until the other end of a ring is closed or the disk fails.
 ///
-/// A failed disk ends the duty: what the disk holds is not known any more, so this replica must
-/// neither acknowledge nor vote until it has been started again and has read what was kept.
+/// A disk failure ends the duty. The content of the disk is unknown after the failure, so this
+/// replica must neither acknowledge nor vote until it has been restarted and has recovered the
+/// stored log.
 pub(super) fn run(
     mut store: LogStore,
     batches: &Receiver<PersistBatch>,
@@ -23,7 +24,7 @@
 ) {
     while let Ok(first) = batches.recv() {
         let mut group = vec![first];
-        while group.len() < MAX_GROUP {
+        while group.len() < MAX_BATCHES_PER_SYNC {
             let Ok(next) = batches.try_recv() else { break };
             group.push(next);
         }
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -1,4 +1,4 @@
-//! Structured log lines on standard error.
+//! Writes structured log lines to standard error.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 ///
 /// # Errors
 ///
-/// Returns the library's error when the logger cannot be built.
+/// Returns the error of the logging library when the logger cannot be built.
 pub fn init_logging(level: &str) -> Result<(), spdlog::Error> {
     let filter = match level {
         "error" => LevelFilter::MoreSevereEqual(spdlog::Level::Error),
@@ -27,7 +27,7 @@
     Ok(())
 }
 
-/// Notes that a duty has ended because it cannot go on.
+/// Logs that a duty has ended because of an error from which it cannot recover.
 pub(crate) fn duty_failed(duty: &str, reason: &dyn std::fmt::Display) {
     error!("duty failed", kv: { duty, reason = format!("{reason}") });
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! `oriolepassd`: reads its settings, runs the daemon, leaves gracefully when asked to.
+//! Runs `oriolepassd`: loads the settings, runs the daemon and shuts it down gracefully on request.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -10,13 +10,13 @@
 use oriolepass_settings::{DaemonSettings, GatewaySettings, SettingsError, reference_page};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// The exit code for settings that were refused.
+/// The exit code for invalid settings.
 const EXIT_SETTINGS: u8 = 2;
 
-/// Between two looks at whether an operator wants this daemon to leave.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+/// The interval between checks for an operator's drain request.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What the command line asks for.
+/// The task selected on the command line.
 #[derive(Debug, Clone)]
 enum DaemonTask {
     Run { config: PathBuf, check: bool },
@@ -56,7 +56,7 @@
         DaemonTask::Gateway { config, check } => return run_gateway(&config, check),
         DaemonTask::Run { config, check } => (config, check),
     };
-    let settings = match checked(DaemonSettings::load(&config), &config, check) {
+    let settings = match settings_to_run(DaemonSettings::load(&config), &config, check) {
         Ok(settings) => settings,
         Err(code) => return code,
     };
@@ -69,15 +69,20 @@
     }
 }
 
-/// Hands on settings that are good and are to be run; else prints why not.
-fn checked<T>(
+/// Returns the settings if they are valid and the daemon is to run with them.
+///
+/// # Errors
+///
+/// Returns the exit code when the settings are invalid or were only to be checked, after printing
+/// the result of the check.
+fn settings_to_run<T>(
     loaded: std::result::Result<T, SettingsError>,
     file: &Path,
     check: bool,
 ) -> std::result::Result<T, ExitCode> {
     match loaded {
         Ok(_) if check => {
-            println!("{}: the settings are good", file.display());
+            println!("{}: the settings are valid", file.display());
             Err(ExitCode::SUCCESS)
         }
         Ok(settings) => Ok(settings),
@@ -89,7 +94,7 @@
 }
 
 fn run_gateway(config: &Path, check: bool) -> ExitCode {
-    let settings = match checked(GatewaySettings::load(config), config, check) {
+    let settings = match settings_to_run(GatewaySettings::load(config), config, check) {
         Ok(settings) => settings,
         Err(code) => return code,
     };
@@ -103,43 +108,44 @@
 }
 
 fn run(settings: DaemonSettings) -> Result<()> {
-    init_logging(&settings.log_level).wrap_err("the log cannot be set up")?;
+    init_logging(&settings.log_level).wrap_err("failed to initialise logging")?;
     let listeners = DaemonListeners::bind(&settings.listen)?;
     let daemon = Daemon::start(settings, listeners)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .wrap_err("the runtime for signals cannot be made")?;
-    runtime.block_on(wait_for_end(&daemon))?;
-    // A second signal while draining ends what still runs, with the truth to each caller.
-    let hurry = daemon.drain_hurry();
-    let ender = std::thread::Builder::new().name("signals".into()).spawn(move || {
-        let second = runtime.block_on(async {
+        .wrap_err("failed to create the runtime for signals")?;
+    runtime.block_on(wait_for_shutdown_request(&daemon))?;
+    // A second signal during the drain ends the running requests; each caller receives its true
+    // outcome.
+    let force_drain = daemon.forced_drain_handle();
+    let signal_thread = std::thread::Builder::new().name("signals".into()).spawn(move || {
+        let second_signal = runtime.block_on(async {
             let mut terminate = signal(SignalKind::terminate())?;
             let mut interrupt = signal(SignalKind::interrupt())?;
             tokio::select! { _ = terminate.recv() => {}, _ = interrupt.recv() => {} }
             Ok::<_, std::io::Error>(())
         });
-        if second.is_ok() {
-            hurry.now();
+        if second_signal.is_ok() {
+            force_drain.force();
         }
     });
-    ender.wrap_err("the thread for signals cannot be started")?;
+    signal_thread.wrap_err("failed to start the thread for signals")?;
     daemon.drain();
     Ok(())
 }
 
-/// Waits for a signal to end, or for an operator to ask for it.
-async fn wait_for_end(daemon: &Daemon) -> Result<()> {
+/// Waits for SIGTERM, SIGINT or an operator's drain request.
+async fn wait_for_shutdown_request(daemon: &Daemon) -> Result<()> {
     let mut terminate = signal(SignalKind::terminate()).wrap_err("SIGTERM")?;
     let mut interrupt = signal(SignalKind::interrupt()).wrap_err("SIGINT")?;
-    let mut look = tokio::time::interval(LOOK_EVERY);
+    let mut poll = tokio::time::interval(DRAIN_POLL_INTERVAL);
     loop {
         tokio::select! {
             _ = terminate.recv() => return Ok(()),
             _ = interrupt.recv() => return Ok(()),
-            _ = look.tick() => {
-                if daemon.is_asked_to_drain() {
+            _ = poll.tick() => {
+                if daemon.is_drain_requested() {
                     return Ok(());
                 }
             }
--- a/crates/daemon/src/member.rs
+++ b/crates/daemon/src/member.rs
@@ -1,4 +1,5 @@
-//! The member's duty: signs of life to the leader, following the configuration, renewing grants.
+//! Runs the member duty, which sends heartbeats to the leader, follows the configuration and
+//! renews grants.
 
 mod leader;
 
@@ -11,74 +12,78 @@
 use oriolepass_units::{AttemptId, InstanceId, LeaseEpoch, MonotonicTime, ShardId};
 use spdlog::{info, warn};
 
-use crate::peers::{MemberBeat, MemberLease, PeerAnswer, PeerQuestion};
+use crate::peers::{MemberHeartbeat, MemberLease, PeerAnswer, PeerQuestion};
 use crate::shared::{DaemonShared, DrainPhase};
 
 pub(crate) use leader::{LeaderClient, LeaderError};
 
-/// Beats sent within one lease.
-const BEATS_PER_LEASE: u32 = 6;
+/// The number of heartbeats sent within one lease.
+const HEARTBEATS_PER_LEASE: u32 = 6;
 
-/// The pause after a failed beat.
-const BEAT_RETRY: Duration = Duration::from_millis(100);
+/// The delay after a failed heartbeat.
+const HEARTBEAT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// How long a question to a source of the view may take.
-const FOLLOW_PATIENCE: Duration = Duration::from_millis(1_500);
+/// The timeout of a query to a source of the view.
+const FOLLOW_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Runs the duty until it is dropped, which the daemon's end does.
+/// Runs the duty until the future is dropped when the daemon stops.
 pub(crate) async fn run(shared: Arc<DaemonShared>) {
-    tokio::join!(beat(&shared), follow(&shared), renew(&shared));
+    tokio::join!(send_heartbeats(&shared), follow(&shared), renew(&shared));
 }
 
-/// Sends signs of life; one at once after each change of the configuration, so that "in force
-/// everywhere" is known soon.
-async fn beat(shared: &DaemonShared) {
+/// Sends heartbeats periodically, and at once after each change of the configuration, so that the
+/// leader learns soon when a change is in force everywhere.
+async fn send_heartbeats(shared: &DaemonShared) {
     let mut client = LeaderClient::default();
     let mut mark = shared.view.watch();
-    let period = shared.settings.timing.member_lease / BEATS_PER_LEASE;
+    let period = shared.settings.timing.member_lease / HEARTBEATS_PER_LEASE;
     loop {
-        let beat = MemberBeat {
+        let heartbeat = MemberHeartbeat {
             record: shared.member_record(),
             applied: mark.borrow_and_update().config_revision,
-            // One that has left must not come back by its last beats: callers would be told to
-            // use it, and find nobody.
+            // A draining daemon must not rejoin through its last heartbeats: address answers would
+            // name it to callers although it no longer serves.
             join: shared.freshness.is_current(shared.now())
                 && shared.drain_phase() == DrainPhase::Serving,
         };
         let sent = shared.now();
-        let question = PeerQuestion::Beat(beat);
-        match client.ask_once(shared, &question, period.max(BEAT_RETRY)).await {
+        let question = PeerQuestion::Beat(heartbeat);
+        match client.ask_once(shared, &question, period.max(HEARTBEAT_RETRY_DELAY)).await {
             Ok(PeerAnswer::Lease(Ok(lease))) => {
-                take_lease(shared, sent, &lease).await;
-                // One that is no member yet joins at once.
-                let pause = if lease.epoch == LeaseEpoch::ZERO { BEAT_RETRY / 4 } else { period };
+                adopt_lease(shared, sent, &lease).await;
+                // A daemon that is not a member yet retries soon, so that it joins without delay.
+                let pause = if lease.epoch == LeaseEpoch::ZERO {
+                    HEARTBEAT_RETRY_DELAY / 4
+                } else {
+                    period
+                };
                 let _ = tokio::time::timeout(pause, mark.changed()).await;
             }
-            Ok(_) => tokio::time::sleep(BEAT_RETRY / 2).await,
+            Ok(_) => tokio::time::sleep(HEARTBEAT_RETRY_DELAY / 2).await,
             Err(_) => {
-                // If most voters can be asked and none knows a leader, nobody can accept a
-                // change either, so the configuration held here is still the one in force.
-                // One that never was current has nothing that could still be in force.
-                let held = shared.freshness.was_current();
-                if held && client.majority_without_leader(shared).await {
+                // If a majority of the voters knows no leader, no change can be accepted, so the
+                // configuration held here is still the one in force. This does not apply to a
+                // configuration that was never confirmed as current.
+                let was_current = shared.freshness.was_current();
+                if was_current && client.majority_without_leader(shared).await {
                     shared.freshness.confirm(sent);
                 }
-                tokio::time::sleep(BEAT_RETRY).await;
+                tokio::time::sleep(HEARTBEAT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Takes a lease over once the view has come as far as the leader's.
-async fn take_lease(shared: &DaemonShared, sent: MonotonicTime, lease: &MemberLease) {
+/// Stores the lease and confirms the configuration once the view has reached the leader's index.
+async fn adopt_lease(shared: &DaemonShared, sent: MonotonicTime, lease: &MemberLease) {
     let before = shared.epoch.swap(lease.epoch.0, Ordering::SeqCst);
     if before != lease.epoch.0 && lease.epoch != LeaseEpoch::ZERO {
         info!("member", kv: { epoch = lease.epoch.0 });
     }
     let mut mark = shared.view.watch();
     let caught_up = mark.wait_for(|mark| mark.index >= lease.view_index);
-    let patience = shared.settings.timing.member_lease / BEATS_PER_LEASE;
-    if tokio::time::timeout(patience, caught_up).await.is_ok_and(|reached| reached.is_ok()) {
+    let timeout = shared.settings.timing.member_lease / HEARTBEATS_PER_LEASE;
+    if tokio::time::timeout(timeout, caught_up).await.is_ok_and(|reached| reached.is_ok()) {
         let first = !shared.freshness.was_current();
         shared.freshness.confirm(sent);
         if first {
@@ -87,7 +92,7 @@
     }
 }
 
-/// Follows the configuration, on daemons that hold no replica of the log.
+/// Follows the configuration on daemons that hold no replica of the log.
 async fn follow(shared: &DaemonShared) {
     if shared.log.is_some() {
         return;
@@ -98,19 +103,19 @@
         let source = follow_source(shared, failures);
         let question = PeerQuestion::Follow { have };
         let answer = match source {
-            Some(address) => shared.peers.ask(address, &question, FOLLOW_PATIENCE).await.ok(),
+            Some(address) => shared.peers.ask(address, &question, FOLLOW_TIMEOUT).await.ok(),
             None => None,
         };
         match answer {
             Some(PeerAnswer::View(update)) => {
                 failures = 0;
                 shared.view.update(update);
-                shared.book.learn(&shared.view.read());
+                shared.book.update(&shared.view.read());
             }
             _ => {
                 failures += 1;
                 if failures == 10 {
-                    warn!("configuration source lost", kv: { have = have.0 });
+                    warn!("no configuration source answers", kv: { have = have.0 });
                 }
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
@@ -118,8 +123,8 @@
     }
 }
 
-/// Chooses whom to follow: a voter of the own data centre, or its relay, or any voter. After
-/// failures the choice moves on.
+/// Selects the source to follow: a voter in the own data centre, else the data centre's relay, else
+/// any voter. After failures, it rotates through the voters.
 fn follow_source(shared: &DaemonShared, failures: usize) -> Option<std::net::SocketAddr> {
     let voters = shared.book.first_voters();
     let view = shared.view.read();
@@ -131,18 +136,18 @@
     if let Some(address) = first.filter(|_| failures == 0) {
         return Some(address);
     }
-    let others: Vec<_> = voters.iter().map(|(_, address)| *address).collect();
-    others.get(failures % others.len().max(1)).copied()
+    let addresses: Vec<_> = voters.iter().map(|(_, address)| *address).collect();
+    addresses.get(failures % addresses.len().max(1)).copied()
 }
 
-/// Returns the member of the own data centre that passes the configuration on to the others.
+/// Returns the member that relays the configuration to the others of the own data centre.
 fn relay_of<'a>(view: &'a ConfigView, shared: &DaemonShared) -> Option<&'a MemberRecord> {
     let shard: ShardId = "relay".parse().expect("a valid name");
     let relay = view.members().home(shared.data_centre(), &shard)?;
     (relay.data_centre == *shared.data_centre()).then_some(relay)
 }
 
-/// Renews the grants that requests here use.
+/// Renews the grants that requests at this daemon use.
 async fn renew(shared: &DaemonShared) {
     let period = shared.settings.timing.grant_lease / 4;
     loop {
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges.
+//! Defines the metrics of the daemon.
 
 use oriolepass_gateway::registered_metric;
 use oriolepass_scheduler::LengthClass;
@@ -8,11 +8,11 @@
     Registry, TextEncoder,
 };
 
-/// Bounds of the time to first token, in seconds.
-const FIRST_TOKEN_BOUNDS: &[f64] =
+/// The bucket bounds of the histograms of the time to first token, in seconds.
+const FIRST_TOKEN_BUCKETS_S: &[f64] =
     &[0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.34, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0, 60.0, 300.0];
 
-/// Everything that the daemon counts.
+/// The metrics of the daemon and their registry.
 pub(crate) struct DaemonMetrics {
     registry: Registry,
     pub(crate) requests: IntCounterVec,
@@ -36,11 +36,11 @@
 }
 
 impl DaemonMetrics {
-    /// Registers everything.
+    /// Registers all metrics.
     ///
     /// # Panics
     ///
-    /// Panics when two metrics have one name, which is a mistake in this file.
+    /// Panics when two metrics have the same name, which is a bug in this module.
     pub(crate) fn new() -> Self {
         let registry = Registry::new();
         let counter =
@@ -54,7 +54,7 @@
             registered_metric(&registry, IntGaugeVec::new(Opts::new(name, help), &[label]))
         };
         let histograms = |name: &str, help: &str, label: &str| {
-            let options = HistogramOpts::new(name, help).buckets(FIRST_TOKEN_BOUNDS.to_vec());
+            let options = HistogramOpts::new(name, help).buckets(FIRST_TOKEN_BUCKETS_S.to_vec());
             registered_metric(&registry, HistogramVec::new(options, &[label]))
         };
         Self {
@@ -69,26 +69,42 @@
                 "Time to first token by account",
                 "account",
             ),
-            running: gauge("oriolepass_running", "Requests admitted and not ended"),
-            buffered_bytes: gauge("oriolepass_buffered_bytes", "Request bodies in memory"),
-            stray_pieces: counter("oriolepass_stray_pieces_total", "Pieces dropped as not own"),
-            retries: counter("oriolepass_retries_total", "Attempts after the first"),
-            ring_depth: gauges("oriolepass_ring_depth", "Messages that wait in a ring", "ring"),
-            ring_full: counters("oriolepass_ring_full_total", "Messages refused by a ring", "ring"),
-            engine_held: gauge("oriolepass_engine_held_tokens", "Memory in the ledger"),
+            running: gauge("oriolepass_running", "Requests admitted and not yet ended"),
+            buffered_bytes: gauge("oriolepass_buffered_bytes", "Bytes of request bodies in memory"),
+            stray_pieces: counter(
+                "oriolepass_stray_pieces_total",
+                "Pieces dropped because they are not the next one of the current attempt",
+            ),
+            retries: counter(
+                "oriolepass_retries_total",
+                "Attempts after the first attempt of a request",
+            ),
+            ring_depth: gauges("oriolepass_ring_depth", "Messages queued in a ring", "ring"),
+            ring_full: counters(
+                "oriolepass_ring_full_total",
+                "Messages refused because a ring was full",
+                "ring",
+            ),
+            engine_held: gauge(
+                "oriolepass_engine_held_tokens",
+                "Engine memory reserved in the ledger, in tokens",
+            ),
             engine_unexplained: gauge(
                 "oriolepass_engine_unexplained_tokens",
-                "Memory that endpoints report and no lease explains",
+                "Memory that endpoints report and no lease accounts for, in tokens",
             ),
             endpoints: gauges("oriolepass_endpoints", "Endpoints of this home by state", "state"),
-            waiting: gauge("oriolepass_waiting", "Asks that wait at this home"),
-            config_revision: gauge("oriolepass_config_revision", "Revision in force here"),
+            waiting: gauge("oriolepass_waiting", "Grant requests queued at this home"),
+            config_revision: gauge(
+                "oriolepass_config_revision",
+                "Configuration revision in force at this daemon",
+            ),
             is_leader: gauge("oriolepass_is_leader", "Whether this daemon leads the log"),
-            log_syncs: counter("oriolepass_log_syncs_total", "Syncs of the log"),
-            log_entries: counter("oriolepass_log_entries_total", "Entries applied"),
+            log_syncs: counter("oriolepass_log_syncs_total", "Syncs of the log to disk"),
+            log_entries: counter("oriolepass_log_entries_total", "Log entries applied"),
             unsettled_claims: gauge(
                 "oriolepass_unsettled_claims",
-                "Ended non-repeatable requests whose claim is not settled yet",
+                "Ended non-repeatable requests whose claim is not yet settled",
             ),
             registry,
         }
@@ -108,10 +124,12 @@
         self.ring_full.with_label_values(&[ring]).inc();
     }
 
-    /// Writes everything in the text format.
+    /// Encodes all metrics in the Prometheus text format.
     pub(crate) fn render(&self) -> Vec<u8> {
         let mut text = Vec::new();
-        TextEncoder::new().encode(&self.registry.gather(), &mut text).expect("memory takes all");
+        TextEncoder::new()
+            .encode(&self.registry.gather(), &mut text)
+            .expect("writing to memory does not fail");
         text
     }
 }
--- a/crates/daemon/src/peers/auth.rs
+++ b/crates/daemon/src/peers/auth.rs
@@ -1,16 +1,18 @@
-//! How daemons know each other: both sides answer a random challenge with the cluster key.
+//! Authenticates daemons to each other: each side answers a random challenge with an HMAC under the
+//! cluster key.
 
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
 
-/// Bytes of a challenge.
+/// The size of a challenge.
 pub(super) const NONCE_BYTES: usize = 32;
 
 /// The key shared by all daemons.
 #[derive(Clone)]
 pub(crate) struct ClusterKey(std::sync::Arc<[u8]>);
 
-/// Keeps an answer of one side from being used as the other's.
+/// The side that makes a proof. The proof includes it, so that a proof of one side cannot be
+/// replayed as one of the other side.
 #[derive(Clone, Copy)]
 pub(super) enum ProofSide {
     Client,
@@ -23,7 +25,8 @@
     }
 
     fn mac(&self, side: ProofSide, nonce: &[u8], instance: &str) -> Hmac<Sha256> {
-        let mut mac = Hmac::<Sha256>::new_from_slice(&self.0).expect("any length of key is taken");
+        let mut mac =
+            Hmac::<Sha256>::new_from_slice(&self.0).expect("HMAC accepts keys of any length");
         mac.update(match side {
             ProofSide::Client => b"oriolepass client",
             ProofSide::Server => b"oriolepass server",
@@ -33,6 +36,7 @@
         mac
     }
 
+    /// Returns the proof that this side knows the cluster key.
     pub(super) fn prove(&self, side: ProofSide, nonce: &[u8], instance: &str) -> Vec<u8> {
         self.mac(side, nonce, instance).finalize().into_bytes().to_vec()
     }
--- a/crates/daemon/src/peers/client.rs
+++ b/crates/daemon/src/peers/client.rs
@@ -1,4 +1,4 @@
-//! The calling side of the connections.
+//! Runs the client side of the connections.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -16,30 +16,30 @@
 use tokio::task::spawn_local;
 
 use super::auth::{ClusterKey, NONCE_BYTES, ProofSide};
-use super::link::network;
+use super::link::rpc_network;
 use super::{PeerCommand, PeerError, PeerFaults, PeerQuestion};
 
-/// How long a connection may take to come about.
+/// The timeout for establishing a connection, including authentication.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Consensus messages under way to one peer; more are dropped.
+/// The maximum number of consensus messages in flight to one peer. Further messages are dropped.
 const MAX_CONSENSUS_IN_FLIGHT: u32 = 512;
 
-/// Between two pings of a connection.
-const PING_EVERY: Duration = Duration::from_millis(700);
+/// The interval between pings of a connection.
+const PING_INTERVAL: Duration = Duration::from_millis(700);
 
-/// How long a ping may take before the connection counts as dead.
-const PING_PATIENCE: Duration = Duration::from_millis(1_500);
+/// The timeout of a ping, after which the connection is treated as dead.
+const PING_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// One connection, or the attempt to make one.
+/// A connection, established or in progress.
 ///
-/// TCP alone does not tell that the other side's host has gone: a question would hang until its
-/// own patience is over, and so would the next. Pings find out, and everything that waits on the
-/// connection fails at once.
+/// TCP alone does not report that the peer's host is gone: each query would hang until its own
+/// timeout, and so would the next. Pings detect a dead connection, and all pending operations on it
+/// then fail at once.
 struct PeerLink {
     session: OnceCell<session::Client>,
     consensus_in_flight: Cell<u32>,
-    watched: Cell<bool>,
+    has_ping_task: Cell<bool>,
     dead: watch::Sender<bool>,
 }
 
@@ -48,15 +48,15 @@
         Self {
             session: OnceCell::new(),
             consensus_in_flight: Cell::new(0),
-            watched: Cell::new(false),
+            has_ping_task: Cell::new(false),
             dead: watch::Sender::new(false),
         }
     }
 }
 
 impl PeerLink {
-    /// Waits for an answer, or for the connection's death.
-    async fn or_dead<T>(
+    /// Waits for an answer; fails when the connection is found dead.
+    async fn or_link_failure<T>(
         &self,
         answer: impl Future<Output = Result<T, capnp::Error>>,
     ) -> Result<T, PeerError> {
@@ -68,14 +68,14 @@
     }
 }
 
-/// Pings a connection until it is dead or nobody uses it any more.
-async fn watch_link(link: Weak<PeerLink>, session: session::Client) {
+/// Pings a connection until it is dead or no longer in use.
+async fn ping_link(link: Weak<PeerLink>, session: session::Client) {
     let ping = PeerQuestion::Ping.encode();
     loop {
-        tokio::time::sleep(PING_EVERY).await;
+        tokio::time::sleep(PING_INTERVAL).await;
         let mut request = session.ask_request();
         request.get().set_question(&ping);
-        let answered = tokio::time::timeout(PING_PATIENCE, request.send().promise).await;
+        let answered = tokio::time::timeout(PING_TIMEOUT, request.send().promise).await;
         let Some(link) = link.upgrade() else { return };
         if !matches!(answered, Ok(Ok(_))) {
             link.dead.send_replace(true);
@@ -91,7 +91,7 @@
     links: RefCell<HashMap<SocketAddr, Rc<PeerLink>>>,
 }
 
-/// Serves the ring until its other end is gone. Runs on the peers' thread.
+/// Processes commands from the ring until its other end is closed. Runs on the `peers` thread.
 pub(crate) async fn run_clients(
     mut commands: mpsc::Receiver<PeerCommand>,
     key: ClusterKey,
@@ -101,8 +101,9 @@
     let clients = Rc::new(PeerClients { key, instance, faults, links: RefCell::default() });
     while let Some(command) = commands.recv().await {
         if clients.faults.is_isolated() {
-            // Neither an answer nor an error: the asker's patience runs out, as in a real cut.
-            spawn_local(hold_in_silence(command));
+            // The sender receives neither an answer nor an error and runs into its timeout, as in
+            // a real network partition.
+            spawn_local(hold_without_answer(command));
             continue;
         }
         let clients = Rc::clone(&clients);
@@ -128,7 +129,8 @@
     }
 }
 
-async fn hold_in_silence(command: PeerCommand) {
+/// Holds a command without an answer before it drops it.
+async fn hold_without_answer(command: PeerCommand) {
     tokio::time::sleep(Duration::from_secs(30)).await;
     drop(command);
 }
@@ -143,8 +145,8 @@
         Rc::clone(link)
     }
 
-    /// Forgets a connection that broke, unless it was replaced meanwhile.
-    fn forget(&self, address: SocketAddr, link: &Rc<PeerLink>) {
+    /// Removes a broken connection, unless it has already been replaced.
+    fn remove_link(&self, address: SocketAddr, link: &Rc<PeerLink>) {
         let mut links = self.links.borrow_mut();
         if links.get(&address).is_some_and(|present| Rc::ptr_eq(present, link)) {
             links.remove(&address);
@@ -160,12 +162,12 @@
             let attempt = connect(address, &self.key, &self.instance);
             tokio::time::timeout(CONNECT_TIMEOUT, attempt).await.unwrap_or(Err(PeerError::Timeout))
         });
-        let fresh = link.session.get().is_none();
+        let is_new = link.session.get().is_none();
         let result = connected.await.cloned();
         match &result {
-            Err(_) => self.forget(address, link),
-            Ok(session) if fresh && !link.watched.replace(true) => {
-                spawn_local(watch_link(Rc::downgrade(link), session.clone()));
+            Err(_) => self.remove_link(address, link),
+            Ok(session) if is_new && !link.has_ping_task.replace(true) => {
+                spawn_local(ping_link(Rc::downgrade(link), session.clone()));
             }
             Ok(_) => {}
         }
@@ -181,9 +183,9 @@
             let response = request.send().promise.await?;
             Ok::<_, capnp::Error>(response.get()?.get_answer()?.to_vec())
         };
-        let answer = link.or_dead(answer).await;
+        let answer = link.or_link_failure(answer).await;
         if answer.is_err() {
-            self.forget(address, &link);
+            self.remove_link(address, &link);
         }
         answer
     }
@@ -192,13 +194,13 @@
         let Ok(session) = self.session(address, link).await else { return };
         let mut request = session.consensus_request();
         request.get().set_message(message);
-        if link.or_dead(request.send().promise).await.is_err() {
-            self.forget(address, link);
+        if link.or_link_failure(request.send().promise).await.is_err() {
+            self.remove_link(address, link);
         }
     }
 }
 
-/// Connects and goes through the mutual proof.
+/// Connects to a peer and performs the mutual authentication.
 async fn connect(
     address: SocketAddr,
     key: &ClusterKey,
@@ -208,7 +210,7 @@
         ErrorKind::ConnectionRefused => PeerError::Refused,
         _ => PeerError::Broken,
     })?;
-    let mut system = RpcSystem::new(network(stream, Side::Client), None);
+    let mut system = RpcSystem::new(rpc_network(stream, Side::Client), None);
     let gate: gate::Client = system.bootstrap(Side::Server);
     spawn_local(async move {
         let _ = system.await;
@@ -227,14 +229,14 @@
     rand::rng().fill_bytes(&mut own_nonce);
     let mut request = gate.prove_request();
     request.get().set_instance(instance);
-    // The answer carries this side's own challenge behind the proof.
+    // The answer consists of the proof and this side's own challenge.
     let mut answer = key.prove(ProofSide::Client, &nonce, instance);
     answer.extend_from_slice(&own_nonce);
     request.get().set_answer(&answer);
     let response = request.send().promise.await?;
     let proof = response.get()?.get_counter_proof()?;
     if !key.verify(ProofSide::Server, &own_nonce, instance, proof) {
-        return Err(capnp::Error::failed("the other side does not know the cluster key".into()));
+        return Err(capnp::Error::failed("the peer does not know the cluster key".into()));
     }
     response.get()?.get_session()
 }
--- a/crates/daemon/src/peers/link.rs
+++ b/crates/daemon/src/peers/link.rs
@@ -1,4 +1,4 @@
-//! The RPC transport of a connection, which both sides set up alike.
+//! Sets up the RPC transport of a connection, in the same way on both sides.
 
 use capnp::message::ReaderOptions;
 use capnp_rpc::rpc_twoparty_capnp::Side;
@@ -8,11 +8,12 @@
 use tokio::net::TcpStream;
 use tokio_util::compat::TokioAsyncReadCompatExt;
 
-/// Words of one message read at most, so that a peer cannot make this daemon allocate at will.
+/// The maximum number of words read of one message, so that a peer cannot cause unbounded
+/// allocation in this daemon.
 const MAX_MESSAGE_WORDS: usize = 16 * 1024 * 1024;
 
-/// Makes the transport of a connection, seen from one side.
-pub(super) fn network(stream: TcpStream, side: Side) -> Box<dyn VatNetwork<Side>> {
+/// Creates the RPC transport of one side of a connection.
+pub(super) fn rpc_network(stream: TcpStream, side: Side) -> Box<dyn VatNetwork<Side>> {
     let _ = stream.set_nodelay(true);
     let mut options = ReaderOptions::new();
     options.traversal_limit_in_words(Some(MAX_MESSAGE_WORDS));
--- a/crates/daemon/src/peers/message.rs
+++ b/crates/daemon/src/peers/message.rs
@@ -1,4 +1,4 @@
-//! The questions that daemons ask each other.
+//! Defines the messages between daemons: the queries ([`PeerQuestion`]) and their answers.
 
 use std::time::Duration;
 
@@ -11,114 +11,116 @@
 
 use crate::view::ViewUpdate;
 
-/// A sign of life of a member.
+/// A heartbeat of a member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct MemberBeat {
-    /// The member.
+pub(crate) struct MemberHeartbeat {
+    /// The record of the member.
     pub(crate) record: MemberRecord,
-    /// The configuration's revision in force there.
+    /// The configuration revision in force at the member.
     pub(crate) applied: ObjectRevision,
-    /// Whether it has caught up and wants to be a member. Before that it only asks how far it
-    /// has to come: a member is named to callers, so it must be able to serve them.
+    /// Whether the daemon has caught up and requests membership. Before that, the heartbeat only
+    /// requests the index to reach: address answers name members to callers, so a member must be
+    /// able to serve them.
     pub(crate) join: bool,
 }
 
-/// The leader's answer to a sign of life.
+/// The leader's answer to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct MemberLease {
-    /// The lease.
+    /// The epoch of the lease; zero if the daemon is not a member.
     pub(crate) epoch: LeaseEpoch,
-    /// The last change of the view that is committed.
+    /// The log index of the last committed change of the view.
     pub(crate) view_index: LogIndex,
 }
 
-/// What only the leader knows.
+/// State that only the leader has.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct LeaderReport {
-    /// Its term.
+    /// The term of the leader.
     pub(crate) term: LeaderTerm,
-    /// The configuration's revision in force at each member that has reported.
+    /// The configuration revision in force at each member that has reported one.
     pub(crate) applied: Vec<(InstanceId, ObjectRevision)>,
     /// The instances that vote.
     pub(crate) voters: Vec<InstanceId>,
-    /// The instances that are catching up to vote.
+    /// The instances that are catching up with the log before they vote.
     pub(crate) learners: Vec<InstanceId>,
 }
 
-/// Why the log did not do what was asked.
+/// The reason why the log did not fulfil a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum LogFailure {
-    /// The daemon asked is not the leader.
+    /// The receiving daemon is not the leader.
     NotLeader {
         /// The leader, if known.
         leader: Option<InstanceId>,
-        /// The term of the daemon asked.
+        /// The term of the receiving daemon.
         term: LeaderTerm,
     },
-    /// Leadership was lost; it may or may not come to pass.
+    /// Leadership was lost, so the outcome of the request is unknown.
     Lost,
-    /// The ring of the log's thread is full.
+    /// The ring of the `log` thread is full, or a join has been proposed and is not yet committed.
     Busy,
 }
 
-/// An answer that only the leader gives.
+/// The result of a query that only the leader can answer.
 pub(crate) type LeaderAnswer<T> = Result<T, LogFailure>;
 
-/// A question.
+/// A query to another daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum PeerQuestion {
-    /// To the leader: commit a command.
+    /// To the leader: proposes a command and waits until it is committed and applied.
     Propose(ReplicatedCommand),
-    /// To the leader: I am alive.
-    Beat(MemberBeat),
-    /// To the leader: audit records.
+    /// To the leader: a heartbeat.
+    Beat(MemberHeartbeat),
+    /// To the leader: requests audit records.
     Audit {
-        /// The sequence number after which they start.
+        /// The sequence number after which the records start.
         after: u64,
-        /// How many at most.
+        /// The maximum number of records.
         limit: u32,
     },
-    /// To the leader: who votes, and which revision each member has in force.
+    /// To the leader: requests the voters and the revision in force at each member.
     LeaderReport,
-    /// To the leader: change which instances should be voters.
+    /// To the leader: sets the instances that should be voters.
     WantVoters(Vec<InstanceId>),
-    /// To any daemon: what changed in the view; waits a while for something to change.
+    /// To any daemon: requests the changes of the view after `have`. The query is a long poll: it
+    /// waits up to [`FOLLOW_LONG_POLL_TIMEOUT`] for a change.
     Follow {
-        /// What the asker has.
+        /// The index of the sender's view.
         have: LogIndex,
     },
-    /// To a home: the use of an endpoint; waits until it is granted or refused.
+    /// To a home: requests a grant for an endpoint; waits until it is granted or refused.
     Grant(GrantAsk),
-    /// To a home: an attempt's first token has come.
+    /// To a home: reports that the first token of an attempt has arrived.
     Started(AttemptId),
-    /// To a home: these grants are still in use.
+    /// To a home: renews grants that are still in use.
     Renew {
-        /// The entry.
+        /// The entry, which is the instance that received the requests.
         entry: InstanceId,
-        /// The grants.
+        /// The attempts that hold the grants.
         attempts: Vec<AttemptId>,
     },
-    /// To a home: a grant, or the wait for one, has ended.
+    /// To a home: ends a grant or a pending grant request.
     Release {
         /// The attempt.
         attempt: AttemptId,
-        /// Why.
+        /// The reason for the release.
         reason: ReleaseReason,
     },
-    /// To any daemon: what a home serves.
+    /// To any daemon: reports the digest of a home.
     Digest(HomeDigest),
-    /// To any daemon: is the connection alive?
+    /// To any daemon: checks that the connection is alive.
     Ping,
 }
 
 impl PeerQuestion {
-    /// Writes the question as it goes over a connection.
+    /// Encodes the query for the wire.
     pub(crate) fn encode(&self) -> Bytes {
-        postcard::to_stdvec(self).expect("a question always serialises").into()
+        postcard::to_stdvec(self).expect("a query always serialises").into()
     }
 }
 
-/// An answer.
+/// The answer to a [`PeerQuestion`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum PeerAnswer {
     /// To [`PeerQuestion::Propose`].
@@ -135,13 +137,13 @@
     View(ViewUpdate),
     /// To [`PeerQuestion::Grant`].
     Granted(Result<PromptGrant, GrantRefusal>),
-    /// To [`PeerQuestion::Renew`]: those that are not known.
+    /// To [`PeerQuestion::Renew`]: the attempts that the home does not know.
     Unknown(Vec<AttemptId>),
-    /// Noted.
+    /// The message was received; there is no other content.
     Noted,
-    /// The ring of the duty asked is full.
+    /// The ring of the receiving duty is full.
     RingFull,
 }
 
-/// How long a follower's question waits for a change.
-pub(crate) const FOLLOW_WAIT: Duration = Duration::from_millis(500);
+/// The time that a [`PeerQuestion::Follow`] waits for a change.
+pub(crate) const FOLLOW_LONG_POLL_TIMEOUT: Duration = Duration::from_millis(500);
--- a/crates/daemon/src/peers/mod.rs
+++ b/crates/daemon/src/peers/mod.rs
@@ -1,7 +1,7 @@
-//! Connections between daemons.
+//! Runs the connections between daemons.
 //!
-//! One thread runs them all over `capnp-rpc`. Each side proves that it knows the cluster key
-//! before any message is read ([`auth`]). Payloads are postcard encodings of the types in
+//! One thread runs all connections over `capnp-rpc`. Each side proves that it knows the cluster
+//! key before any message is read ([`auth`]). Payloads are postcard encodings of the types in
 //! [`message`].
 
 mod auth;
@@ -25,22 +25,22 @@
 pub(crate) use auth::ClusterKey;
 pub(crate) use client::run_clients;
 pub(crate) use message::{
-    LeaderAnswer, LeaderReport, LogFailure, MemberBeat, MemberLease, PeerAnswer, PeerQuestion,
+    LeaderAnswer, LeaderReport, LogFailure, MemberHeartbeat, MemberLease, PeerAnswer, PeerQuestion,
 };
 pub(crate) use server::{answer, run_server};
 
-/// Questions and messages that wait for the peers' thread.
+/// The capacity of the ring of the `peers` thread.
 const RING_CAPACITY: usize = 8_192;
 
-/// A hook for tests that cuts this daemon off from its peers.
+/// A test hook that isolates this daemon from its peers.
 #[derive(Debug, Clone, Default)]
 pub struct PeerFaults {
     isolated: Arc<AtomicBool>,
 }
 
 impl PeerFaults {
-    /// Drops everything from and to other daemons, or stops doing so. Nothing tells either
-    /// side, as in a silent partition.
+    /// Sets whether all messages from and to other daemons are dropped. Neither side receives an
+    /// error, as in a silent network partition.
     pub fn set_isolated(&self, isolated: bool) {
         self.isolated.store(isolated, Ordering::SeqCst);
     }
@@ -50,30 +50,30 @@
     }
 }
 
-/// Why a peer gave no answer.
+/// The reason why a peer gave no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum PeerError {
-    /// The ring to the peers' thread is full.
+    /// The ring of the `peers` thread is full.
     #[error("too many messages to other daemons wait; try again")]
     RingFull,
-    /// No answer came in time.
+    /// No answer arrived within the timeout.
     #[error("the other daemon did not answer in time; check that it runs")]
     Timeout,
-    /// The host is there, and nothing listens: the daemon is not running.
+    /// The host refused the connection, so the daemon is not running.
     #[error("the other daemon is not running; start it")]
     Refused,
-    /// The connection could not be made or broke.
+    /// The connection could not be established or was lost.
     #[error("the connection to the other daemon broke; check the network")]
     Broken,
 }
 
-/// Work for the peers' thread.
+/// A command for the `peers` thread.
 pub(crate) enum PeerCommand {
     Ask { address: SocketAddr, question: Bytes, reply: oneshot::Sender<Result<Vec<u8>, PeerError>> },
     Consensus { address: SocketAddr, message: Vec<u8> },
 }
 
-/// Sends to other daemons.
+/// Sends queries and messages to other daemons.
 #[derive(Clone)]
 pub(crate) struct PeerHandle {
     ring: mpsc::Sender<PeerCommand>,
@@ -81,52 +81,53 @@
 }
 
 impl PeerHandle {
-    /// Creates the handle and the ring's other end.
+    /// Creates the handle and the receiving end of its ring.
     pub(crate) fn new(book: AddressBook) -> (Self, mpsc::Receiver<PeerCommand>) {
         let (ring, commands) = mpsc::channel(RING_CAPACITY);
         (Self { ring, book }, commands)
     }
 
-    /// Asks another daemon.
+    /// Sends a query to another daemon and returns its answer.
     pub(crate) async fn ask(
         &self,
         address: SocketAddr,
         question: &PeerQuestion,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<PeerAnswer, PeerError> {
-        self.ask_encoded(address, question.encode(), patience).await
+        self.ask_encoded(address, question.encode(), timeout).await
     }
 
-    /// Asks a question that was encoded before, because many daemons are asked the same.
+    /// Sends an encoded query, so that a query to many daemons is encoded only once.
     pub(crate) async fn ask_encoded(
         &self,
         address: SocketAddr,
         question: Bytes,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<PeerAnswer, PeerError> {
         let (reply, answer) = oneshot::channel();
         self.ring
             .try_send(PeerCommand::Ask { address, question, reply })
             .map_err(|_| PeerError::RingFull)?;
-        let answer = tokio::time::timeout(patience, answer)
+        let answer = tokio::time::timeout(timeout, answer)
             .await
             .map_err(|_| PeerError::Timeout)?
             .map_err(|_| PeerError::Broken)??;
         postcard::from_bytes(&answer).map_err(|_| PeerError::Broken)
     }
 
-    /// Asks another daemon by its name.
+    /// Sends a query to the daemon of an instance.
     pub(crate) async fn ask_instance(
         &self,
         instance: &InstanceId,
         question: &PeerQuestion,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<PeerAnswer, PeerError> {
         let address = self.book.get(instance).ok_or(PeerError::Broken)?;
-        self.ask(address, question, patience).await
+        self.ask(address, question, timeout).await
     }
 
-    /// Sends consensus messages. One that does not fit is dropped: the protocol sends again.
+    /// Sends consensus messages. A message is dropped if the ring is full, because the protocol
+    /// resends it.
     pub(crate) fn send_consensus(&self, envelopes: Vec<Envelope>) {
         for envelope in envelopes {
             let Some(address) = self.book.get(&envelope.to) else { continue };
--- a/crates/daemon/src/peers/server.rs
+++ b/crates/daemon/src/peers/server.rs
@@ -1,4 +1,4 @@
-//! The answering side of the connections.
+//! Runs the server side of the connections.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -13,13 +13,13 @@
 use tokio::task::spawn_local;
 
 use super::auth::{ClusterKey, NONCE_BYTES, ProofSide};
-use super::link::network;
-use super::message::{FOLLOW_WAIT, PeerAnswer, PeerQuestion};
+use super::link::rpc_network;
+use super::message::{FOLLOW_LONG_POLL_TIMEOUT, PeerAnswer, PeerQuestion};
 use super::{LeaderAnswer, LogFailure, PeerFaults};
 use crate::log::LogHandle;
 use crate::shared::DaemonShared;
 
-/// Accepts connections for ever. Runs on the peers' thread.
+/// Accepts connections until the future is dropped. Runs on the `peers` thread.
 pub(crate) async fn run_server(
     listener: TcpListener,
     shared: Arc<DaemonShared>,
@@ -40,13 +40,13 @@
         nonce: RefCell::default(),
     };
     let gate: gate::Client = capnp_rpc::new_client(gate);
-    let system = RpcSystem::new(network(stream, Side::Server), Some(gate.client));
+    let system = RpcSystem::new(rpc_network(stream, Side::Server), Some(gate.client));
     spawn_local(async move {
         let _ = system.await;
     });
 }
 
-/// What a connection offers before the peer has proved itself.
+/// The RPC interface of a connection before the peer is authenticated.
 struct PeerGate {
     shared: Arc<DaemonShared>,
     key: ClusterKey,
@@ -75,14 +75,14 @@
         let params = params.get()?;
         let instance = params.get_instance()?.to_string()?;
         let answer = params.get_answer()?;
-        // Each challenge is good for one try.
+        // Each challenge is valid for one attempt only.
         let nonce = self.nonce.borrow_mut().take();
         let split = answer.len().checked_sub(NONCE_BYTES).map(|at| answer.split_at(at));
         let proved = nonce.zip(split).filter(|(nonce, (proof, _))| {
             self.key.verify(ProofSide::Client, nonce, &instance, proof)
         });
         let Some((_, (_, peer_nonce))) = proved else {
-            return Err(capnp::Error::failed("wrong cluster key".into()));
+            return Err(capnp::Error::failed("the peer does not know the cluster key".into()));
         };
         let counter_proof = self.key.prove(ProofSide::Server, peer_nonce, &instance);
         results.get().set_counter_proof(&counter_proof);
@@ -92,7 +92,7 @@
     }
 }
 
-/// What a proved peer may do.
+/// The RPC interface for an authenticated peer.
 struct PeerSession {
     shared: Arc<DaemonShared>,
     faults: PeerFaults,
@@ -136,7 +136,7 @@
     }
 }
 
-/// Asks the log, which only voters have.
+/// Sends a query to the local replica of the log, which only voters have.
 async fn ask_log<'a, T, Fut>(
     shared: &'a DaemonShared,
     ask: impl FnOnce(&'a LogHandle) -> Fut,
@@ -150,13 +150,15 @@
     }
 }
 
-/// Passes a question to the duty of this daemon that answers it.
+/// Passes a query to the duty of this daemon that answers it.
 pub(crate) async fn answer(shared: &DaemonShared, question: PeerQuestion) -> PeerAnswer {
     match question {
         PeerQuestion::Propose(command) => {
             PeerAnswer::Proposed(ask_log(shared, |log| log.propose(command)).await)
         }
-        PeerQuestion::Beat(beat) => PeerAnswer::Lease(ask_log(shared, |log| log.beat(beat)).await),
+        PeerQuestion::Beat(heartbeat) => {
+            PeerAnswer::Lease(ask_log(shared, |log| log.heartbeat(heartbeat)).await)
+        }
         PeerQuestion::Audit { after, limit } => {
             PeerAnswer::Audit(ask_log(shared, |log| log.audit(after, limit)).await)
         }
@@ -169,16 +171,18 @@
         PeerQuestion::Follow { have } => {
             let mut watch = shared.view.watch();
             let newer = watch.wait_for(|mark| mark.index > have);
-            let _ = tokio::time::timeout(FOLLOW_WAIT, newer).await;
+            let _ = tokio::time::timeout(FOLLOW_LONG_POLL_TIMEOUT, newer).await;
             PeerAnswer::View(shared.view.update_after(have))
         }
         PeerQuestion::Grant(ask) => PeerAnswer::Granted(shared.home.ask(ask).await),
-        PeerQuestion::Started(attempt) => noted(shared.home.started(attempt)),
+        PeerQuestion::Started(attempt) => acknowledgement(shared.home.started(attempt)),
         PeerQuestion::Renew { entry, attempts } => match shared.home.renew(entry, attempts).await {
             Some(unknown) => PeerAnswer::Unknown(unknown),
             None => PeerAnswer::RingFull,
         },
-        PeerQuestion::Release { attempt, reason } => noted(shared.home.release(attempt, reason)),
+        PeerQuestion::Release { attempt, reason } => {
+            acknowledgement(shared.home.release(attempt, reason))
+        }
         PeerQuestion::Ping => PeerAnswer::Noted,
         PeerQuestion::Digest(digest) => {
             shared.digests.put(shared.now(), digest);
@@ -187,6 +191,6 @@
     }
 }
 
-fn noted(taken: bool) -> PeerAnswer {
-    if taken { PeerAnswer::Noted } else { PeerAnswer::RingFull }
+fn acknowledgement(accepted: bool) -> PeerAnswer {
+    if accepted { PeerAnswer::Noted } else { PeerAnswer::RingFull }
 }
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all duties of one daemon share.
+//! Holds the state shared by all duties of one daemon.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
@@ -25,29 +25,31 @@
 use crate::peers::PeerHandle;
 use crate::view::SharedView;
 
-/// Shards of each data centre. One home schedules a whole shard, so a prompt that needs a group
-/// of engines needs them in one.
+/// The number of shards in each data centre.
+///
+/// A shard is the set of endpoints that one home schedules. A prompt that needs a group of engines
+/// needs all of them in the same shard.
 pub(crate) const SHARDS_PER_DATA_CENTRE: u32 = 1;
 
-/// How long a home's digest is believed.
-const DIGEST_LIFETIME: Duration = Duration::from_secs(2);
+/// The time after which a home's digest is ignored.
+const DIGEST_TTL: Duration = Duration::from_secs(2);
 
-/// How far the daemon's life has come.
+/// The phase of a graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum DrainPhase {
-    /// It serves.
+    /// The daemon serves requests; no shutdown has begun.
     Serving,
-    /// It is out of the address answers and serves on until those that name it have expired.
+    /// The daemon is removed from the address answers and serves until those that name it expire.
     Leaving,
-    /// It takes no new requests and ends those it has.
+    /// The daemon accepts no new requests and ends the running ones.
     Closed,
 }
 
-/// Everything that the duties share.
+/// The state that the duties share.
 pub(crate) struct DaemonShared {
     pub(crate) settings: DaemonSettings,
     pub(crate) addresses: MemberAddresses,
-    /// Tells this start from earlier ones.
+    /// A random number that distinguishes this start of the daemon from earlier ones.
     pub(crate) boot: u64,
     pub(crate) timer: TimerService,
     pub(crate) metrics: DaemonMetrics,
@@ -60,23 +62,23 @@
     pub(crate) home: HomeHandle,
     pub(crate) grants: GrantKeeper,
     pub(crate) endpoints: EndpointClient,
-    pub(crate) digests: DigestBoard,
-    /// What requests that came in here may try again.
+    pub(crate) digests: DigestCache,
+    /// The retry budget of the requests that this daemon received.
     budget: Mutex<RetryBudget>,
     pub(crate) epoch: AtomicU64,
     pub(crate) running: AtomicU64,
     pub(crate) buffered: AtomicU64,
-    /// Set when the duties end.
+    /// Set when the duties must stop.
     pub(crate) stopping: watch::Sender<bool>,
-    /// Set when requests must end although they are not done.
+    /// Set when running requests must end before they complete.
     pub(crate) abandon: watch::Sender<bool>,
-    /// Set when a graceful shutdown must not take any longer.
-    pub(crate) hurry: watch::Sender<bool>,
+    /// Set when a graceful shutdown must stop waiting for running requests.
+    pub(crate) force_drain: watch::Sender<bool>,
     drain: AtomicU8,
     attempts: AtomicU64,
 }
 
-/// The parts that a daemon is made of, before its duties start.
+/// The components from which [`DaemonShared`] is built, before the duties start.
 pub(crate) struct SharedParts {
     pub(crate) settings: DaemonSettings,
     pub(crate) addresses: MemberAddresses,
@@ -104,14 +106,14 @@
             home: parts.home,
             grants: GrantKeeper::default(),
             endpoints: EndpointClient::new(),
-            digests: DigestBoard::default(),
+            digests: DigestCache::default(),
             budget: Mutex::default(),
             epoch: AtomicU64::new(0),
             running: AtomicU64::new(0),
             buffered: AtomicU64::new(0),
             stopping: watch::Sender::new(false),
             abandon: watch::Sender::new(false),
-            hurry: watch::Sender::new(false),
+            force_drain: watch::Sender::new(false),
             drain: AtomicU8::new(DrainPhase::Serving as u8),
             attempts: AtomicU64::new(0),
         }
@@ -129,7 +131,7 @@
         self.timer.now()
     }
 
-    /// Returns this daemon as the members' table should know it.
+    /// Returns the record of this daemon for the member table.
     pub(crate) fn member_record(&self) -> MemberRecord {
         MemberRecord {
             instance: self.id().clone(),
@@ -141,18 +143,19 @@
         }
     }
 
-    /// Returns the lease held at present, or zero before the first.
+    /// Returns the epoch of the current member lease, or zero before the first lease.
     pub(crate) fn lease_epoch(&self) -> LeaseEpoch {
         LeaseEpoch(self.epoch.load(Ordering::SeqCst))
     }
 
-    /// Makes an attempt id that no other daemon, start or request has.
+    /// Returns a new attempt id, unique over all daemons, starts and attempts.
     pub(crate) fn next_attempt_id(&self) -> AttemptId {
         let number = self.attempts.fetch_add(1, Ordering::Relaxed);
         let text = format!("{}-{:x}-{number:x}", self.id(), self.boot);
-        // A name of the greatest length leaves no room; then the random start alone must do.
+        // An instance id of the maximum length makes the text too long for an attempt id. The
+        // random number of the start then has to make the id unique.
         text.parse().unwrap_or_else(|_| {
-            format!("{:x}-{number:x}", self.boot).parse().expect("short and plain")
+            format!("{:x}-{number:x}", self.boot).parse().expect("a short id of valid characters")
         })
     }
 
@@ -164,7 +167,7 @@
         }
     }
 
-    /// Moves the drain on; it never goes back.
+    /// Advances the drain to `phase`; it never returns to an earlier phase.
     pub(crate) fn set_drain_phase(&self, phase: DrainPhase) {
         self.drain.fetch_max(phase as u8, Ordering::SeqCst);
     }
@@ -173,7 +176,8 @@
         self.freshness.is_current(self.now()) && self.drain_phase() == DrainPhase::Serving
     }
 
-    /// Returns the home of an endpoint at present, if any daemon is a member.
+    /// Returns the current home of an endpoint, the member that schedules its shard; `None` if
+    /// there are no members.
     pub(crate) fn home_of(
         &self,
         data_centre: &DataCentreId,
@@ -184,7 +188,7 @@
         self.view.read().members().home(data_centre, &shard).cloned()
     }
 
-    /// Spends a retry of this daemon's budget.
+    /// Takes a retry from this daemon's budget; returns whether the budget allowed it.
     pub(crate) fn spend_retry(&self) -> bool {
         let allowed = self.budget.lock().expect("no panic with the lock").spend();
         if allowed {
@@ -193,28 +197,28 @@
         allowed
     }
 
-    /// Earns a part of a retry by a first attempt.
+    /// Credits the budget with the part of a retry that a first attempt earns.
     pub(crate) fn earn_retry(&self) {
         self.budget.lock().expect("no panic with the lock").earn();
     }
 }
 
-/// The latest digests of the homes.
+/// Caches the latest digest of each home.
 #[derive(Default)]
-pub(crate) struct DigestBoard(RwLock<BTreeMap<InstanceId, (Arc<HomeDigest>, MonotonicTime)>>);
+pub(crate) struct DigestCache(RwLock<BTreeMap<InstanceId, (Arc<HomeDigest>, MonotonicTime)>>);
 
-impl DigestBoard {
+impl DigestCache {
     pub(crate) fn put(&self, now: MonotonicTime, digest: HomeDigest) {
-        let mut board = self.0.write().expect("no panic with the lock");
-        board.insert(digest.home.clone(), (Arc::new(digest), now));
+        let mut digests = self.0.write().expect("no panic with the lock");
+        digests.insert(digest.home.clone(), (Arc::new(digest), now));
     }
 
-    /// Returns the digests that are still believed.
+    /// Returns the digests that have not expired.
     pub(crate) fn fresh(&self, now: MonotonicTime) -> Vec<Arc<HomeDigest>> {
-        let board = self.0.read().expect("no panic with the lock");
-        board
+        let digests = self.0.read().expect("no panic with the lock");
+        digests
             .values()
-            .filter(|(_, at)| now.since(*at) < DIGEST_LIFETIME)
+            .filter(|(_, at)| now.since(*at) < DIGEST_TTL)
             .map(|(digest, _)| Arc::clone(digest))
             .collect()
     }
--- a/crates/daemon/src/view.rs
+++ b/crates/daemon/src/view.rs
@@ -1,4 +1,4 @@
-//! The configuration in force at this daemon.
+//! Holds the view of the configuration that is in force at this daemon.
 
 use std::collections::VecDeque;
 use std::sync::{RwLock, RwLockReadGuard};
@@ -8,19 +8,19 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
 
-/// Deltas kept for daemons that follow this one.
-const DELTAS_RETAINED: usize = 1_024;
+/// The maximum number of deltas retained for daemons that follow this one.
+const MAX_RETAINED_DELTAS: usize = 1_024;
 
-/// What a follower is told.
+/// An update of the view for a follower.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum ViewUpdate {
-    /// Changes after the index that the follower has; none where there are none.
+    /// The changes after the follower's index; empty if there are none.
     Deltas(Vec<ViewDelta>),
-    /// The whole, for a follower that has missed too much.
+    /// The whole view, for a follower whose missing changes are no longer retained.
     Whole(Box<ConfigView>),
 }
 
-/// How far the view has come.
+/// The position of the view: the last applied log index and its configuration revision.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct ViewMark {
     pub(crate) index: LogIndex,
@@ -33,7 +33,7 @@
     deltas: VecDeque<ViewDelta>,
 }
 
-/// The view, shared by all duties. It only ever moves forward.
+/// The view, shared by all duties. Its index never decreases.
 pub(crate) struct SharedView {
     state: RwLock<ViewState>,
     mark: watch::Sender<ViewMark>,
@@ -44,7 +44,7 @@
         Self { state: RwLock::default(), mark: watch::Sender::new(ViewMark::default()) }
     }
 
-    /// Reads the view.
+    /// Locks the view for reading.
     pub(crate) fn read(&self) -> ViewReader<'_> {
         ViewReader(self.state.read().expect("no duty panics while it changes the view"))
     }
@@ -57,7 +57,7 @@
         self.mark.subscribe()
     }
 
-    /// Takes in what a source told. An older state than the present one is ignored.
+    /// Applies an update. An update that is older than the current view is ignored.
     pub(crate) fn update(&self, update: ViewUpdate) {
         let mut state = self.state.write().expect("no duty panics while it changes the view");
         match update {
@@ -67,7 +67,7 @@
                         state.deltas.push_back(delta);
                     }
                 }
-                while state.deltas.len() > DELTAS_RETAINED {
+                while state.deltas.len() > MAX_RETAINED_DELTAS {
                     state.deltas.pop_front();
                 }
             }
@@ -91,14 +91,14 @@
         });
     }
 
-    /// Returns what a follower that has `have` misses.
+    /// Returns the update for a follower whose view is at index `have`.
     pub(crate) fn update_after(&self, have: LogIndex) -> ViewUpdate {
         let state = self.state.read().expect("no duty panics while it changes the view");
         if have >= state.view.index() {
             return ViewUpdate::Deltas(Vec::new());
         }
-        // Only if a delta at or before the follower's index is still here is it certain that
-        // none after it was dropped.
+        // A retained delta at or before the follower's index proves that no delta after that index
+        // was dropped.
         if state.deltas.front().is_some_and(|oldest| oldest.index <= have) {
             let missing = state.deltas.iter().filter(|delta| delta.index > have);
             return ViewUpdate::Deltas(missing.cloned().collect());
