--- a/crates/daemon/tests/processes.rs
+++ b/crates/daemon/tests/processes.rs
@@ -1,4 +1,5 @@
-//! The daemon as separate processes: settings, forming, serving, a kill, a graceful end.
+//! Runs daemons as separate processes: settings, formation of a system, serving, a kill and a
+//! graceful shutdown.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
@@ -16,9 +17,9 @@
 const ROOT_KEY: &str = "process-test-root-key";
 const POOL_KEY: &str = "process-test-pool-key";
 const ACCOUNT_KEY: &str = "process-test-account-key";
-const CENTRES: [&str; 3] = ["recife-a", "fortaleza-b", "salvador-c"];
+const DATA_CENTRES: [&str; 3] = ["recife-a", "fortaleza-b", "salvador-c"];
 
-/// The addresses of one daemon: callers, operators, endpoints, peers.
+/// The addresses of one daemon, in this order: callers, operators, endpoints, peers.
 type Addresses = [SocketAddr; 4];
 
 struct Daemons {
@@ -38,7 +39,7 @@
         std::fs::write(folder.path().join("key"), "0123456789abcdef0123").expect("a key file");
         let addresses: Vec<Addresses> = (0..3).map(|_| [0; 4].map(|_| free_address())).collect();
         let mut daemons = Self { folder, addresses, children: vec![None, None, None] };
-        (0..3).for_each(|number| daemons.start_one(number));
+        (0..3).for_each(|number| daemons.start_daemon(number));
         daemons
     }
 
@@ -52,7 +53,7 @@
              callers = {callers}\noperators = {operators}\nendpoints = {endpoints}\n\
              peers = {peers}\n[cluster]\nvoters = {}\nkey_file = {}\n[bootstrap]\n\
              root_key_sha256 = {}\n[timing]\naddress_keep_ms = 500\n[log]\nlevel = info\n",
-            CENTRES[number],
+            DATA_CENTRES[number],
             path(&format!("data-{number}")),
             voters.join(", "),
             path("key"),
@@ -60,7 +61,7 @@
         )
     }
 
-    fn start_one(&mut self, number: usize) {
+    fn start_daemon(&mut self, number: usize) {
         let file = self.folder.path().join(format!("a{number}.ini"));
         std::fs::write(&file, self.settings(number)).expect("a settings file");
         let log = std::fs::File::options()
@@ -102,18 +103,18 @@
             reason: String::new(),
         };
         let body = serde_json::to_string(&call).expect("a call");
-        let mut last = String::new();
+        let mut last_error = String::new();
         for _ in 0..200 {
             let sent =
                 call_json(self.operators(1), "POST", "/v1/changes", Some(ROOT_KEY), body.clone());
             match sent.await {
                 Ok(answer) if answer.status == 200 => return,
-                Ok(answer) => last = answer.body,
-                Err(error) => last = error,
+                Ok(answer) => last_error = answer.body,
+                Err(error) => last_error = error,
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        panic!("{name} was not accepted: {last}");
+        panic!("{name} was not accepted: {last_error}");
     }
 
     async fn configure(&self) {
@@ -131,7 +132,7 @@
         self.put("oriole-large", ObjectSpec::Model(model)).await;
     }
 
-    /// Sends a prompt until it is answered whole.
+    /// Sends a prompt repeatedly until a complete answer arrives.
     async fn complete(&self, number: usize, seed: u32) {
         let call = CompletionRequest {
             model: "oriole-large".to_owned(),
@@ -141,15 +142,15 @@
             once: None,
         };
         let caller = TestCaller::new(ACCOUNT_KEY);
-        let mut last = None;
+        let mut last_error = None;
         for _ in 0..200 {
             match caller.complete(self.addresses[number][0], &call).await {
                 Ok(_) => return,
-                Err(error) => last = Some(error),
+                Err(error) => last_error = Some(error),
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        panic!("no answer through daemon {number}: {last:?}");
+        panic!("no answer through daemon {number}: {last_error:?}");
     }
 }
 
@@ -166,8 +167,10 @@
     std::fs::read_to_string(folder.join(format!("log-{number}"))).expect("a log")
 }
 
+/// Guards against faults that appear only with real processes: configuration lost by a kill, a
+/// graceful shutdown that hangs or fails, keys in the logs and log lines that are not JSON.
 #[tokio::test(flavor = "multi_thread")]
-async fn three_processes_form_serve_and_end_gracefully() {
+async fn three_processes_form_a_system_serve_and_shut_down_gracefully() {
     let mut daemons = Daemons::start();
     for number in 0..3 {
         daemons.wait_ready(number).await;
@@ -179,10 +182,10 @@
         cache_lag: Duration::from_millis(20),
     };
     let mut engines = Vec::new();
-    for (number, centre) in CENTRES.iter().enumerate() {
+    for (number, data_centre) in DATA_CENTRES.iter().enumerate() {
         let engine = EngineServer::start(
             format!("engine-{number}").parse().expect("a name"),
-            centre.parse().expect("a name"),
+            data_centre.parse().expect("a name"),
             Incarnation(1),
             EngineConfig::default(),
             plan.clone(),
@@ -192,40 +195,41 @@
     for number in 0..3 {
         daemons.complete(number, 1).await;
     }
-    // A killed process comes back with what was accepted.
-    let mut victim = daemons.children[2].take().expect("it runs");
-    victim.kill().expect("killed");
-    victim.wait().expect("ended");
+    // A killed daemon recovers the accepted configuration when it restarts.
+    let mut killed = daemons.children[2].take().expect("it runs");
+    killed.kill().expect("killed");
+    killed.wait().expect("ended");
     daemons.complete(0, 2).await;
-    daemons.start_one(2);
+    daemons.start_daemon(2);
     daemons.wait_ready(2).await;
     daemons.complete(2, 3).await;
-    // SIGTERM: out of the answers, everything ended, exit code 0.
-    let mut leaver = daemons.children[0].take().expect("it runs");
-    let told = Command::new("kill").args(["-TERM", &leaver.id().to_string()]).status();
-    assert!(told.expect("kill runs").success());
-    let status = leaver.wait().expect("ended");
+    // On SIGTERM, a daemon leaves the address answers, ends its requests and exits with code 0.
+    let mut terminated = daemons.children[0].take().expect("it runs");
+    let sent = Command::new("kill").args(["-TERM", &terminated.id().to_string()]).status();
+    assert!(sent.expect("kill runs").success());
+    let status = terminated.wait().expect("ended");
     assert_eq!(status.code(), Some(0), "{}", log_of(daemons.folder.path(), 0));
     daemons.complete(1, 4).await;
     let log = log_of(daemons.folder.path(), 0);
     assert!(log.contains("drained"), "{log}");
-    // An operator lets another one leave by a remote call to any daemon.
+    // An operator can drain a daemon by a call to any other daemon.
     let body = "{\"instance\":\"a1\"}".to_owned();
-    let told = call_json(daemons.operators(2), "POST", "/v1/drain", Some(ROOT_KEY), body).await;
-    assert_eq!(told.expect("an answer").status, 200);
+    let sent = call_json(daemons.operators(2), "POST", "/v1/drain", Some(ROOT_KEY), body).await;
+    assert_eq!(sent.expect("an answer").status, 200);
     let mut drained = daemons.children[1].take().expect("it runs");
     let status = drained.wait().expect("ended");
     assert_eq!(status.code(), Some(0), "{}", log_of(daemons.folder.path(), 1));
     for (number, key) in [(0, ROOT_KEY), (1, POOL_KEY), (2, ACCOUNT_KEY)] {
-        assert!(!log_of(daemons.folder.path(), number).contains(key), "a key stands in a log");
+        assert!(!log_of(daemons.folder.path(), number).contains(key), "a log contains a key");
     }
     for line in log.lines() {
         serde_json::from_str::<serde_json::Value>(line).expect("log lines are JSON");
     }
 }
 
+/// Guards against a start with invalid settings, and against a report of the first error only.
 #[test]
-fn bad_settings_end_the_process_with_all_problems_and_code_2() {
+fn invalid_settings_end_the_process_with_code_2_and_report_all_errors() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("bad.ini");
     std::fs::write(&file, "[instance]\nid = a b\n[limits]\nmax_request = 7\n").expect("a file");
