--- a/crates/daemon/src/entry/grants.rs
+++ b/crates/daemon/src/entry/grants.rs
@@ -11,9 +11,9 @@
 /// Grants in use. The home of an endpoint may change while a grant lasts, so what is kept are
 /// the endpoints; whom to renew with is looked up each time.
 #[derive(Default)]
-pub(crate) struct GrantKeeper(Mutex<HashMap<AttemptId, GrantPlaces>>);
+pub(crate) struct ActiveGrants(Mutex<HashMap<AttemptId, GrantPlaces>>);
 
-impl GrantKeeper {
+impl ActiveGrants {
     pub(crate) fn add(&self, grant: &PromptGrant) {
         let places = grant.members.iter().map(|m| (m.data_centre.clone(), m.endpoint.clone()));
         let mut grants = self.0.lock().expect("no panic with the lock");
--- a/crates/daemon/src/entry/mod.rs
+++ b/crates/daemon/src/entry/mod.rs
@@ -10,4 +10,4 @@
 
 pub(crate) use client::{EndpointClient, ServiceCall};
 pub(crate) use driver::{CallerEvent, ClaimSpec, EntryRequest, WorkBody, start_request};
-pub(crate) use grants::GrantKeeper;
+pub(crate) use grants::ActiveGrants;
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -17,7 +17,7 @@
 use tokio::sync::watch;
 
 use crate::address_book::AddressBook;
-use crate::entry::{EndpointClient, GrantKeeper};
+use crate::entry::{ActiveGrants, EndpointClient};
 use crate::freshness::ConfigFreshness;
 use crate::home::HomeHandle;
 use crate::log::LogHandle;
@@ -58,7 +58,7 @@
     /// The replica of the log, on voters.
     pub(crate) log: Option<LogHandle>,
     pub(crate) home: HomeHandle,
-    pub(crate) grants: GrantKeeper,
+    pub(crate) grants: ActiveGrants,
     pub(crate) endpoints: EndpointClient,
     pub(crate) digests: DigestBoard,
     /// What requests that came in here may try again.
@@ -102,7 +102,7 @@
             peers: parts.peers,
             log: parts.log,
             home: parts.home,
-            grants: GrantKeeper::default(),
+            grants: ActiveGrants::default(),
             endpoints: EndpointClient::new(),
             digests: DigestBoard::default(),
             budget: Mutex::default(),
