--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -19,7 +19,7 @@
 use tokio::task::LocalSet;
 
 use crate::address_book::AddressBook;
-use crate::home::{HomeHandle, run_chores, start_home};
+use crate::home::{HomeHandle, run_home_tasks, start_home};
 use crate::log::{LogHandle, LogParts, start_log};
 use crate::peers::{ClusterKey, PeerFaults, PeerHandle, run_clients, run_server};
 use crate::shared::{DaemonShared, SharedParts};
@@ -344,7 +344,7 @@
     shared: &Arc<DaemonShared>,
     operators: StdListener,
     endpoints: StdListener,
-    chores: tokio::sync::mpsc::Receiver<crate::home::HomeChore>,
+    chores: tokio::sync::mpsc::Receiver<crate::home::HomeTask>,
 ) -> io::Result<JoinHandle<()>> {
     operators.set_nonblocking(true)?;
     endpoints.set_nonblocking(true)?;
@@ -359,7 +359,7 @@
         tokio::join!(
             http::serve(operators, operator_router, CONTROL_CONNECTIONS),
             http::serve(endpoints, endpoint_router, CONTROL_CONNECTIONS),
-            run_chores(shared, chores),
+            run_home_tasks(shared, chores),
         );
     })
 }
--- a/crates/daemon/src/home/chores.rs
+++ b/crates/daemon/src/home/chores.rs
@@ -18,23 +18,26 @@
 const DIGEST_PATIENCE: Duration = Duration::from_millis(500);
 
 /// Something to do for the home.
-pub(crate) enum HomeChore {
+pub(crate) enum HomeTask {
     Cancel { address: SocketAddr, attempt: AttemptId },
     Inspect { endpoint: EndpointId, address: SocketAddr },
     Publish(HomeDigest),
 }
 
 /// Does chores until the ring's other end is gone.
-pub(crate) async fn run_chores(shared: Arc<DaemonShared>, mut chores: mpsc::Receiver<HomeChore>) {
+pub(crate) async fn run_home_tasks(
+    shared: Arc<DaemonShared>,
+    mut chores: mpsc::Receiver<HomeTask>,
+) {
     while let Some(chore) = chores.recv().await {
         let shared = Arc::clone(&shared);
         match chore {
-            HomeChore::Cancel { address, attempt } => {
+            HomeTask::Cancel { address, attempt } => {
                 tokio::spawn(async move {
                     shared.endpoints.cancel(address, &attempt, ENDPOINT_PATIENCE).await;
                 });
             }
-            HomeChore::Inspect { endpoint, address } => {
+            HomeTask::Inspect { endpoint, address } => {
                 tokio::spawn(async move {
                     let asked = shared.now();
                     let held = shared.endpoints.held(address, ENDPOINT_PATIENCE).await;
@@ -43,7 +46,7 @@
                     }
                 });
             }
-            HomeChore::Publish(digest) => publish(&shared, digest),
+            HomeTask::Publish(digest) => publish(&shared, digest),
         }
     }
 }
--- a/crates/daemon/src/home/duty.rs
+++ b/crates/daemon/src/home/duty.rs
@@ -12,7 +12,7 @@
 use oriolepass_units::{AccountId, AttemptId, LogIndex, MonotonicTime};
 use tokio::sync::mpsc;
 
-use super::{GrantReply, HomeChore, HomeInput};
+use super::{GrantReply, HomeInput, HomeTask};
 use crate::shared::DaemonShared;
 
 /// Ticks between two digests.
@@ -26,7 +26,7 @@
 pub(crate) fn start_home(
     shared: &Arc<DaemonShared>,
     inputs: Receiver<HomeInput>,
-    chores: mpsc::Sender<HomeChore>,
+    chores: mpsc::Sender<HomeTask>,
 ) -> std::io::Result<JoinHandle<()>> {
     let timing = &shared.settings.timing;
     let config = SchedulerConfig {
@@ -50,7 +50,7 @@
 struct HomeDuty {
     scheduler: HomeScheduler,
     replies: HashMap<AttemptId, GrantReply>,
-    chores: mpsc::Sender<HomeChore>,
+    chores: mpsc::Sender<HomeTask>,
     view_seen: LogIndex,
     ticks: u64,
     /// Whether the last digest named anything.
@@ -134,7 +134,7 @@
         let serves = !digest.models.is_empty() || !digest.services.is_empty();
         let served = std::mem::replace(&mut self.served, serves);
         if serves || served {
-            let _ = self.chores.try_send(HomeChore::Publish(digest));
+            let _ = self.chores.try_send(HomeTask::Publish(digest));
         }
     }
 
@@ -192,16 +192,16 @@
             HomeCommand::Grant(grant) => self.grant(shared, grant),
             HomeCommand::Refuse { attempt, refusal } => self.refuse(&attempt, refusal),
             HomeCommand::Cancel { address, attempt, .. } => {
-                self.chore(shared, HomeChore::Cancel { address, attempt });
+                self.chore(shared, HomeTask::Cancel { address, attempt });
             }
             HomeCommand::Inspect { endpoint, address } => {
-                self.chore(shared, HomeChore::Inspect { endpoint, address });
+                self.chore(shared, HomeTask::Inspect { endpoint, address });
             }
         }
     }
 
     /// A chore that does not fit is left: the scheduler repeats what is not confirmed.
-    fn chore(&self, shared: &DaemonShared, chore: HomeChore) {
+    fn chore(&self, shared: &DaemonShared, chore: HomeTask) {
         if self.chores.try_send(chore).is_err() {
             shared.metrics.ring_refused("chores");
         }
--- a/crates/daemon/src/home/mod.rs
+++ b/crates/daemon/src/home/mod.rs
@@ -12,7 +12,7 @@
 use oriolepass_units::{AttemptId, EndpointId, InstanceId, MonotonicTime};
 use tokio::sync::oneshot;
 
-pub(crate) use chores::{HomeChore, run_chores};
+pub(crate) use chores::{HomeTask, run_home_tasks};
 pub(crate) use duty::start_home;
 
 /// Asks and reports that wait for the home's thread.
