--- a/crates/daemon/src/entry/client.rs
+++ b/crates/daemon/src/entry/client.rs
@@ -1,4 +1,4 @@
-//! Calls to endpoints.
+//! HTTP client for calls to endpoints.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,36 +19,37 @@
 
 use super::lines::LineStream;
 
-/// How long a connection to an endpoint may take to come about.
+/// Timeout for establishing a connection to an endpoint.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Bytes read at a time from an endpoint. A stream trickles tokens of some tens of bytes, and
-/// there are thousands of streams.
-const READ_BUFFER: usize = 2_048;
+/// Size of the read buffer of a connection. A stream carries tokens of some tens of bytes at a
+/// time, and thousands of streams are open, so the buffer is small.
+const READ_BUFFER_BYTES: usize = 2_048;
 
-/// The longest answer of a plain service.
-const MAX_SERVICE_ANSWER: usize = 16 << 20;
+/// Maximum size of the answer of a plain service.
+const MAX_SERVICE_ANSWER_BYTES: usize = 16 << 20;
 
-/// The longest list of held streams.
-const MAX_HELD_LIST: usize = 16 << 20;
+/// Maximum size of an endpoint's list of held streams.
+const MAX_HELD_LIST_BYTES: usize = 16 << 20;
 
 type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
 /// A call to a plain service.
 #[derive(Debug, Clone)]
 pub(crate) struct ServiceCall {
-    /// The path behind the service's name.
+    /// The path after the service's name.
     pub(crate) path: String,
     pub(crate) content_type: String,
     pub(crate) body: Bytes,
-    /// Whether it may be sent again when a kept connection turns out to be dead.
+    /// Whether the client may send the call again when a pooled connection turns out to be dead.
     pub(crate) repeatable: bool,
 }
 
-/// Connections to endpoints.
+/// HTTP clients for endpoints: one for repeatable calls, one for calls that are sent only once.
 pub(crate) struct EndpointClient {
+    /// Reuses connections and sends a call again when a reused connection is dead.
     pooled: HttpClient,
-    /// Connects afresh for every call and never sends anything twice by itself.
+    /// Opens a new connection for every call and never sends a call twice on its own.
     single: HttpClient,
 }
 
@@ -62,10 +63,10 @@
         };
         Self {
             pooled: Client::builder(TokioExecutor::new())
-                .http1_read_buf_exact_size(READ_BUFFER)
+                .http1_read_buf_exact_size(READ_BUFFER_BYTES)
                 .build(connector()),
             single: Client::builder(TokioExecutor::new())
-                .http1_read_buf_exact_size(READ_BUFFER)
+                .http1_read_buf_exact_size(READ_BUFFER_BYTES)
                 .pool_max_idle_per_host(0)
                 .retry_canceled_requests(false)
                 .build(connector()),
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Sets memory aside on an engine for a part of a prompt.
+    /// Reserves memory on an engine for a part of a prompt.
     pub(crate) async fn hold_part(
         &self,
         address: SocketAddr,
@@ -98,40 +99,35 @@
         let body = serde_json::to_vec(call).expect("a call always serialises");
         let request = json_request(Method::POST, address, "/v1/parts", body);
         let response = self.pooled.request(request).await.map_err(|error| send_failure(&error))?;
-        // A part only holds memory, so a refused one has run nothing.
+        // A part only reserves memory, so a refused part has run nothing.
         if response.status().is_success() { Ok(()) } else { Err(SendFailure::RefusedUnrun) }
     }
 
-    /// Cancels an attempt; whether it was there is not told.
-    pub(crate) async fn cancel(
-        &self,
-        address: SocketAddr,
-        attempt: &AttemptId,
-        patience: Duration,
-    ) {
+    /// Cancels an attempt. Does not report whether the attempt existed.
+    pub(crate) async fn cancel(&self, address: SocketAddr, attempt: &AttemptId, timeout: Duration) {
         let path = format!("/v1/streams/{attempt}");
         let request = json_request(Method::DELETE, address, &path, Vec::new());
-        let _ = tokio::time::timeout(patience, self.pooled.request(request)).await;
+        let _ = tokio::time::timeout(timeout, self.pooled.request(request)).await;
     }
 
-    /// Asks an endpoint what holds its memory.
+    /// Queries the streams that hold memory on an endpoint; `None` on an error or a time-out.
     pub(crate) async fn held(
         &self,
         address: SocketAddr,
-        patience: Duration,
+        timeout: Duration,
     ) -> Option<Vec<HeldStream>> {
         let request = json_request(Method::GET, address, "/v1/streams", Vec::new());
         let answer = async {
             let response = self.pooled.request(request).await.ok()?;
-            let body = Limited::new(response.into_body(), MAX_HELD_LIST);
+            let body = Limited::new(response.into_body(), MAX_HELD_LIST_BYTES);
             let bytes = body.collect().await.ok()?.to_bytes();
             serde_json::from_slice::<HeldStreams>(&bytes).ok()
         };
-        let held = tokio::time::timeout(patience, answer).await.ok()??;
+        let held = tokio::time::timeout(timeout, answer).await.ok()??;
         Some(held.streams)
     }
 
-    /// Calls a plain service and reads its whole answer, which must echo the attempt.
+    /// Calls a plain service and reads its whole answer, which must echo the attempt id.
     pub(crate) async fn call_service(
         &self,
         address: SocketAddr,
@@ -162,13 +158,13 @@
     }
     let echoed = echoed.ok_or(SendFailure::Broken)?;
     let content_type = text("content-type").unwrap_or("application/octet-stream").to_owned();
-    let limited = Limited::new(body, MAX_SERVICE_ANSWER);
+    let limited = Limited::new(body, MAX_SERVICE_ANSWER_BYTES);
     let bytes = limited.collect().await.map_err(|_| SendFailure::Broken)?.to_bytes();
     let kept = KeptAnswer::new(head.status.as_u16(), content_type, &bytes);
     Ok((echoed, kept, String::from_utf8_lossy(&bytes).into_owned()))
 }
 
-/// Only a connection that never came about proves that nothing was sent.
+/// Classifies a client error. Only a failure to connect proves that nothing was sent.
 fn send_failure(error: &ClientError) -> SendFailure {
     if error.is_connect() { SendFailure::NotConnected } else { SendFailure::Broken }
 }
--- a/crates/daemon/src/entry/driver.rs
+++ b/crates/daemon/src/entry/driver.rs
@@ -1,4 +1,5 @@
-//! Runs one request: carries out the commands of its state machine and feeds it what happens.
+//! Runs one request: executes the commands of its state machine and feeds it the resulting
+//! events.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,19 +25,19 @@
 use super::homes::{ask_homes, jittered};
 use super::lines::LineStream;
 use super::outcomes;
-use super::sending::{claim_until, send_prompt};
+use super::sending::{claim_request, send_prompt};
 use crate::shared::DaemonShared;
 
-/// Pieces of an answer that may wait for a slow caller.
-const PIECES_AHEAD: usize = 32;
+/// Capacity of the channel that buffers pieces of an answer for a slow caller.
+const MAX_BUFFERED_PIECES: usize = 32;
 
-/// How long the commit of a claim may take.
-const CLAIM_PATIENCE: Duration = Duration::from_secs(5);
+/// Timeout for the commit of a claim.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long an endpoint may take to drop a cancelled attempt.
-const CANCEL_PATIENCE: Duration = Duration::from_secs(2);
+/// Timeout for an endpoint's answer to the cancellation of an attempt.
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a request is about.
+/// The payload of a request.
 pub(crate) enum WorkBody {
     /// A prompt for a model.
     Prompt(Arc<PromptBody>),
@@ -44,7 +45,7 @@
     Service(ServiceCall),
 }
 
-/// What makes a request run at most once.
+/// The caller key and body digest of a request that must run at most once.
 pub(crate) struct ClaimSpec {
     pub(crate) key: CallerKey,
     pub(crate) body_digest: String,
@@ -64,19 +65,19 @@
     pub(crate) claim: Option<ClaimSpec>,
 }
 
-/// What the caller's side is told.
+/// An event for the caller's HTTP handler.
 ///
-/// A channel of these is allocated for every open stream, so the rare large ones are boxed.
+/// Every open stream allocates a channel of events, so the rare large variants are boxed.
 pub(crate) enum CallerEvent {
     /// The next piece of the answer.
     Piece(String),
-    /// A plain service's answer, ahead of its only piece.
+    /// A plain service's answer, sent before its only piece.
     ServiceHead(Box<KeptAnswer>),
-    /// The end.
+    /// The outcome of the request; the last event.
     Finished(Box<RequestOutcome>),
 }
 
-/// Something that the request waited for.
+/// The result of an asynchronous operation that the request waited for.
 enum DriverEvent {
     Claimed(Option<ClaimAnswer>),
     Granted(Result<(InstanceId, PromptGrant), (AttemptId, AttemptRefusal)>),
@@ -84,12 +85,12 @@
     Answered(Result<(AttemptId, KeptAnswer, String), SendFailure>),
 }
 
-/// Starts a request; its events come out of the receiver, the end last.
+/// Starts a request and returns the receiver of its events, of which `Finished` is the last.
 pub(crate) fn start_request(
     shared: &Arc<DaemonShared>,
     request: EntryRequest,
 ) -> mpsc::Receiver<CallerEvent> {
-    let (events, receiver) = mpsc::channel(PIECES_AHEAD);
+    let (events, receiver) = mpsc::channel(MAX_BUFFERED_PIECES);
     let running = RunningGuard::enter(shared);
     let driver = RequestDriver::new(Arc::clone(shared), request, events);
     tokio::spawn(async move {
@@ -99,7 +100,8 @@
     receiver
 }
 
-/// Counts a request for as long as it runs, also if its task panics.
+/// Counts a request while it runs. The count is decremented on drop, so a panic of the task
+/// does not leave it too high.
 struct RunningGuard(Arc<DaemonShared>);
 
 impl RunningGuard {
@@ -124,7 +126,7 @@
     events: mpsc::Sender<CallerEvent>,
     pending: Option<BoxFuture<'static, DriverEvent>>,
     lines: Option<LineStream>,
-    /// The home that the present attempt was asked of.
+    /// The home that granted the current attempt.
     home: Option<InstanceId>,
     claim_nonce: AttemptId,
     seen_token: bool,
@@ -166,12 +168,12 @@
                 }
                 self.carry_out(command, &mut deadline).await;
             }
-            self.wait(&mut deadline, &mut abandon).await;
+            self.wait_for_event(&mut deadline, &mut abandon).await;
         }
     }
 
-    /// Waits for the next thing to happen and tells the state machine.
-    async fn wait(
+    /// Waits for the next event and passes it to the state machine.
+    async fn wait_for_event(
         &mut self,
         deadline: &mut oneshot::Receiver<()>,
         abandon: &mut watch::Receiver<bool>,
@@ -179,23 +181,24 @@
         tokio::select! {
             biased;
             _ = deadline => self.life.deadline_passed(),
-            () = self.events.closed(), if !self.runs_on_alone() => self.life.caller_gone(),
+            () = self.events.closed(), if !self.outlives_caller() => self.life.caller_gone(),
             _ = abandon.wait_for(|abandon| *abandon) => self.life.abandon(),
             event = next_event(&mut self.pending) => {
                 self.pending = None;
-                self.happened(event);
+                self.handle_event(event);
             }
             line = next_line(&mut self.lines) => self.on_line(line),
         }
     }
 
-    /// A non-repeatable request goes on when its caller has gone: the caller will ask again
-    /// with the same key, and there should be an answer then.
-    fn runs_on_alone(&self) -> bool {
+    /// Returns whether the request continues after its caller has disconnected. Non-repeatable
+    /// requests do: the caller may send the request again with the same key and then gets the
+    /// answer.
+    fn outlives_caller(&self) -> bool {
         self.request.claim.is_some()
     }
 
-    fn happened(&mut self, event: DriverEvent) {
+    fn handle_event(&mut self, event: DriverEvent) {
         let shared = Arc::clone(&self.shared);
         let next = || shared.fresh_attempt();
         match event {
@@ -211,7 +214,7 @@
             }
             DriverEvent::Sent(Ok(lines)) => self.lines = Some(lines),
             DriverEvent::Sent(Err(failure)) | DriverEvent::Answered(Err(failure)) => {
-                self.broke(failure);
+                self.attempt_failed(failure);
             }
             DriverEvent::Answered(Ok((attempt, kept, body))) => {
                 let own = self.life.attempt() == Some(&attempt);
@@ -220,15 +223,15 @@
                 }
                 self.life.service_answered(&attempt, &kept, &body);
                 if !own {
-                    // The answer is somebody else's. Ours may never come, and the call may
-                    // have run.
-                    self.broke(SendFailure::Broken);
+                    // The answer belongs to another attempt. This attempt's answer may never
+                    // arrive, and its call may have run.
+                    self.attempt_failed(SendFailure::Broken);
                 }
             }
         }
     }
 
-    fn broke(&mut self, failure: SendFailure) {
+    fn attempt_failed(&mut self, failure: SendFailure) {
         let shared = &self.shared;
         self.life.broke(failure, || shared.may_retry(), || shared.fresh_attempt());
     }
@@ -236,7 +239,7 @@
     fn on_line(&mut self, line: Option<StreamLine>) {
         let Some(line) = line else {
             self.lines = None;
-            self.broke(SendFailure::Broken);
+            self.attempt_failed(SendFailure::Broken);
             return;
         };
         let shared = &self.shared;
@@ -286,10 +289,11 @@
 
     fn release(&mut self, attempt: AttemptId, reason: ReleaseReason) {
         self.pending = None;
-        let places = self.shared.grants.remove(&attempt);
-        // The home may have changed since it granted; its successor holds the ledger now.
-        let present = places
-            .and_then(|places| places.into_iter().next())
+        let endpoints = self.shared.grants.remove(&attempt);
+        // The endpoint's home may have changed since the grant. The new home then holds the
+        // ledger, so the release goes to both.
+        let present = endpoints
+            .and_then(|endpoints| endpoints.into_iter().next())
             .and_then(|(data_centre, endpoint)| self.shared.home_of(&data_centre, &endpoint))
             .map(|member| member.instance);
         let asked = self.home.take();
@@ -304,11 +308,12 @@
     fn cancel(&self, address: SocketAddr, attempt: AttemptId) {
         let shared = Arc::clone(&self.shared);
         tokio::spawn(async move {
-            shared.endpoints.cancel(address, &attempt, CANCEL_PATIENCE).await;
+            shared.endpoints.cancel(address, &attempt, CANCEL_TIMEOUT).await;
         });
     }
 
-    /// Passes a piece on. A caller that does not read is cut off after a while.
+    /// Passes a piece to the caller. A caller that does not read within `reader_timeout` counts
+    /// as disconnected.
     async fn deliver(&mut self, text: String, deadline: &mut oneshot::Receiver<()>) {
         if !std::mem::replace(&mut self.seen_token, true) {
             let taken = self.shared.now().since(self.request.arrived).as_secs_f64();
@@ -318,14 +323,14 @@
         let piece = CallerEvent::Piece(text);
         let piece = match self.events.try_send(piece) {
             Ok(()) => return,
-            Err(mpsc::error::TrySendError::Closed(_)) if self.runs_on_alone() => return,
+            Err(mpsc::error::TrySendError::Closed(_)) if self.outlives_caller() => return,
             Err(mpsc::error::TrySendError::Closed(_)) => return self.life.caller_gone(),
             Err(mpsc::error::TrySendError::Full(piece)) => piece,
         };
-        let patience = self.shared.settings.limits.reader_timeout;
+        let timeout = self.shared.settings.limits.reader_timeout;
         tokio::select! {
-            sent = self.events.send_timeout(piece, patience) => {
-                if sent.is_err() && !self.runs_on_alone() {
+            sent = self.events.send_timeout(piece, timeout) => {
+                if sent.is_err() && !self.outlives_caller() {
                     self.life.caller_gone();
                 }
             }
@@ -335,16 +340,16 @@
 
     async fn finish(&mut self, outcome: RequestOutcome) {
         self.shared.metrics.requests.with_label_values(&[outcome.label()]).inc();
-        let patience = self.shared.settings.limits.reader_timeout;
-        let _ = self.events.send_timeout(CallerEvent::Finished(Box::new(outcome)), patience).await;
+        let timeout = self.shared.settings.limits.reader_timeout;
+        let _ = self.events.send_timeout(CallerEvent::Finished(Box::new(outcome)), timeout).await;
     }
 
     fn claim(&self) -> BoxFuture<'static, DriverEvent> {
         let (shared, request) = (Arc::clone(&self.shared), Arc::clone(&self.request));
         let nonce = self.claim_nonce.clone();
         Box::pin(async move {
-            let until = request.deadline.min(shared.now() + CLAIM_PATIENCE);
-            DriverEvent::Claimed(claim_until(&shared, &request, &nonce, until).await)
+            let claim_deadline = request.deadline.min(shared.now() + CLAIM_TIMEOUT);
+            DriverEvent::Claimed(claim_request(&shared, &request, &nonce, claim_deadline).await)
         })
     }
 
--- a/crates/daemon/src/entry/homes.rs
+++ b/crates/daemon/src/entry/homes.rs
@@ -1,4 +1,5 @@
-//! Asks homes for the use of an endpoint.
+//! Requests grants from homes. A home is the daemon that schedules an endpoint and keeps the
+//! ledger of its memory.
 
 use std::time::Duration;
 
@@ -9,10 +10,11 @@
 use crate::peers::{PeerAnswer, PeerQuestion};
 use crate::shared::DaemonShared;
 
-/// Homes asked one after the other before their refusals are passed on.
+/// Maximum number of homes asked in sequence before the request is refused.
 const MAX_HOMES_ASKED: usize = 3;
 
-/// Asks the homes that serve the target, the best first.
+/// Asks the homes that serve the target for a grant, in order of rank. If all refuse, returns
+/// the most informative refusal.
 pub(super) async fn ask_homes(
     shared: &DaemonShared,
     ask: GrantAsk,
@@ -20,14 +22,14 @@
     let digests = shared.digests.fresh(shared.now());
     let homes = rank_homes(&ask, shared.data_centre(), digests.iter().map(AsRef::as_ref));
     let mut refusal = match digests.is_empty() {
-        // No home has been heard of yet, so this daemon cannot tell.
+        // Without any digest, this daemon does not know which homes exist.
         true => AttemptRefusal::HomeLost,
         false => AttemptRefusal::NoHome,
     };
     for home in homes.into_iter().take(MAX_HOMES_ASKED) {
         match ask_home(shared, &home, &ask).await {
             Ok(grant) => return Ok((home, grant)),
-            Err(refused) => refusal = more_helpful(refusal, refused),
+            Err(refused) => refusal = more_informative(refusal, refused),
         }
     }
     Err((ask.attempt, refusal))
@@ -48,8 +50,8 @@
     }
 }
 
-/// Chooses which of two refusals tells the caller more.
-fn more_helpful(left: AttemptRefusal, right: AttemptRefusal) -> AttemptRefusal {
+/// Returns whichever of two refusals gives the caller more information.
+fn more_informative(left: AttemptRefusal, right: AttemptRefusal) -> AttemptRefusal {
     let rank = |refusal: &AttemptRefusal| match refusal {
         AttemptRefusal::NoHome => 0,
         AttemptRefusal::Home(GrantRefusal::NotServed) => 1,
@@ -63,7 +65,8 @@
     if rank(&right) >= rank(&left) { right } else { left }
 }
 
-/// Spreads retries, so that those of one failure do not all come back at once.
-pub(super) fn jittered(span: Duration) -> Duration {
-    span.mul_f64(rand::random_range(0.5..1.5))
+/// Returns the delay multiplied by a random factor, so that retries after a common failure do
+/// not arrive at the same time.
+pub(super) fn jittered(delay: Duration) -> Duration {
+    delay.mul_f64(rand::random_range(0.5..1.5))
 }
--- a/crates/daemon/src/entry/lines.rs
+++ b/crates/daemon/src/entry/lines.rs
@@ -1,4 +1,4 @@
-//! Reads an engine's answer: server-sent events with one [`StreamLine`] each.
+//! Parses an engine's answer: server-sent events that each carry one [`StreamLine`].
 
 use std::collections::VecDeque;
 
@@ -7,7 +7,7 @@
 use hyper::body::Incoming;
 use oriolepass_schema::endpoint::StreamLine;
 
-/// The longest line accepted, in bytes; an engine that sends more is not followed.
+/// Maximum size of a line. A stream with a longer line is treated as broken.
 const MAX_LINE_BYTES: usize = 1 << 20;
 
 /// The lines of one answer, as they arrive.
@@ -22,9 +22,9 @@
         Self { body, buffer: BytesMut::new(), ready: VecDeque::new() }
     }
 
-    /// Returns the next line, or none when the connection broke or said something else.
+    /// Returns the next line, or `None` when the connection broke or sent invalid data.
     ///
-    /// Nothing is lost if the future is dropped before it is ready.
+    /// Cancel-safe: no line is lost if the future is dropped before it is ready.
     pub(crate) async fn next(&mut self) -> Option<StreamLine> {
         loop {
             if let Some(line) = self.ready.pop_front() {
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Takes whole events out of the buffer.
+    /// Moves complete events from the buffer to the queue. Returns `None` on invalid data or an
+    /// oversized line.
     fn parse(&mut self) -> Option<()> {
         while let Some(end) = find_blank_line(&self.buffer) {
             let event = self.buffer.split_to(end + 2);
--- a/crates/daemon/src/entry/mod.rs
+++ b/crates/daemon/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry's duty: requests of callers, from admission to their end.
+//! The entry role of a daemon: runs callers' requests from admission to completion.
 
 mod client;
 mod driver;
--- a/crates/daemon/src/entry/outcomes.rs
+++ b/crates/daemon/src/entry/outcomes.rs
@@ -1,5 +1,5 @@
-//! Things that must get through although a ring is full or a daemon is away: releases and
-//! settled claims. Each is tried until it is done or its lease makes it pointless.
+//! Delivers releases and settled claims, which must arrive even when a ring is full or a daemon
+//! is unreachable. Each is retried until it is acknowledged or its lease has made it obsolete.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,16 +12,17 @@
 use crate::peers::{PeerAnswer, PeerQuestion};
 use crate::shared::DaemonShared;
 
-/// The pause between two tries.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before a release is sent again.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How long one try may take.
-const TRY_PATIENCE: Duration = Duration::from_secs(1);
+/// Timeout of a single call to a peer.
+const PEER_CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a claim is tried to be settled. After that the leader has long marked it unknown.
-const SETTLE_PATIENCE: Duration = Duration::from_secs(600);
+/// Timeout for settling a claim. By its end the leader has long marked the claim unknown.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// Gives a grant back to a home. The grant's lease frees the memory if this fails.
+/// Releases a grant at a home. If no release arrives, the expiry of the grant's lease frees the
+/// memory.
 pub(super) fn release(
     shared: &Arc<DaemonShared>,
     home: InstanceId,
@@ -33,24 +34,24 @@
     }
     let shared = Arc::clone(shared);
     tokio::spawn(async move {
-        let until = shared.now() + shared.settings.timing.grant_lease;
-        while shared.now() < until {
+        let lease_end = shared.now() + shared.settings.timing.grant_lease;
+        while shared.now() < lease_end {
             let done = if home == *shared.id() {
                 shared.home.release(attempt.clone(), reason)
             } else {
                 let question = PeerQuestion::Release { attempt: attempt.clone(), reason };
-                let answer = shared.peers.ask_instance(&home, &question, TRY_PATIENCE).await;
+                let answer = shared.peers.ask_instance(&home, &question, PEER_CALL_TIMEOUT).await;
                 matches!(answer, Ok(PeerAnswer::Noted))
             };
             if done {
                 return;
             }
-            tokio::time::sleep(RETRY_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     });
 }
 
-/// Tells a home that an attempt's first token has come.
+/// Notifies a home that an attempt has produced its first token. The notification is sent once.
 pub(super) fn note_started(shared: &Arc<DaemonShared>, home: InstanceId, attempt: AttemptId) {
     if home == *shared.id() {
         shared.home.started(attempt);
@@ -59,21 +60,21 @@
     let shared = Arc::clone(shared);
     tokio::spawn(async move {
         let question = PeerQuestion::Started(attempt);
-        let _ = shared.peers.ask_instance(&home, &question, TRY_PATIENCE).await;
+        let _ = shared.peers.ask_instance(&home, &question, PEER_CALL_TIMEOUT).await;
     });
 }
 
-/// Settles a claim.
+/// Settles a claim in the replicated log, in a background task.
 pub(super) fn settle(shared: &Arc<DaemonShared>, command: SettleCommand) {
     let shared = Arc::clone(shared);
     shared.metrics.unsettled_claims.inc();
     tokio::spawn(async move {
         let question = PeerQuestion::Propose(ReplicatedCommand::Settle(command));
         let mut leader = LeaderClient::default();
-        let answer = leader.ask(&shared, &question, SETTLE_PATIENCE).await;
+        let answer = leader.ask(&shared, &question, SETTLE_TIMEOUT).await;
         debug_assert!(
             !matches!(answer, Ok(PeerAnswer::Proposed(Ok(ApplyOutcome::Refused(_))))),
-            "a settlement is never refused"
+            "the log refused to settle a claim"
         );
         shared.metrics.unsettled_claims.dec();
     });
--- a/crates/daemon/src/entry/sending.rs
+++ b/crates/daemon/src/entry/sending.rs
@@ -1,4 +1,4 @@
-//! Claims a request and sends it to its endpoints.
+//! Claims requests in the replicated log and sends prompts to engines.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,15 +16,15 @@
 use crate::peers::{PeerAnswer, PeerQuestion};
 use crate::shared::DaemonShared;
 
-/// The pause before a claim is tried with a new lease.
-const CLAIM_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before a claim is retried with a renewed lease.
+const CLAIM_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Claims a request; none where no answer came in time.
-pub(super) async fn claim_until(
+/// Claims a request; `None` if no answer arrived before `claim_deadline`.
+pub(super) async fn claim_request(
     shared: &DaemonShared,
     request: &EntryRequest,
     nonce: &AttemptId,
-    until: MonotonicTime,
+    claim_deadline: MonotonicTime,
 ) -> Option<ClaimAnswer> {
     let claim = request.claim.as_ref().expect("only non-repeatable requests claim");
     let allowed = request.deadline.since(shared.now());
@@ -39,14 +39,15 @@
             allowed_ms: u64::try_from(allowed.as_millis()).unwrap_or(u64::MAX),
         };
         let question = PeerQuestion::Propose(ReplicatedCommand::Claim(command));
-        let left = until.since(shared.now());
+        let left = claim_deadline.since(shared.now());
         let answer = LeaderClient::default().ask(shared, &question, left).await;
         match answer {
-            // This daemon's lease is being renewed; it knows the new one in a moment.
+            // The lease epoch in the claim is out of date. This daemon is renewing its lease and
+            // will soon know the new epoch.
             Ok(PeerAnswer::Proposed(Ok(ApplyOutcome::Claimed(ClaimAnswer::StaleEntry))))
-                if shared.now() + CLAIM_PAUSE < until =>
+                if shared.now() + CLAIM_RETRY_DELAY < claim_deadline =>
             {
-                tokio::time::sleep(CLAIM_PAUSE).await;
+                tokio::time::sleep(CLAIM_RETRY_DELAY).await;
             }
             Ok(PeerAnswer::Proposed(Ok(ApplyOutcome::Claimed(answer)))) => return Some(answer),
             _ => return None,
@@ -54,7 +55,8 @@
     }
 }
 
-/// Sends a prompt to its engines: the parts first, so that the leading engine can count on them.
+/// Sends a prompt to its engines. The parts are reserved first, so that the memory on the other
+/// engines is held before the leading engine starts.
 pub(super) async fn send_prompt(
     shared: &DaemonShared,
     request: &EntryRequest,
