--- a/crates/daemon/src/home/mod.rs
+++ b/crates/daemon/src/home/mod.rs
@@ -1,7 +1,9 @@
-//! The home's duty: feeds the scheduler and carries out its commands.
+//! The home role of a daemon. A home schedules the endpoints of a shard: it grants their use to
+//! entries and keeps the ledger of their memory. The thread of this module feeds the scheduler
+//! and executes its commands.
 
-mod chores;
-mod duty;
+mod tasks;
+mod thread;
 
 use crossbeam_channel::{Receiver, Sender, bounded};
 use oriolepass_scheduler::{GrantAsk, GrantRefusal, PromptGrant, ReleaseReason};
@@ -12,19 +14,19 @@
 use oriolepass_units::{AttemptId, EndpointId, InstanceId, MonotonicTime};
 use tokio::sync::oneshot;
 
-pub(crate) use chores::{HomeTask, run_home_tasks};
-pub(crate) use duty::start_home;
+pub(crate) use tasks::{HomeTask, run_home_tasks};
+pub(crate) use thread::start_home;
 
-/// Asks and reports that wait for the home's thread.
+/// Capacity of the ring of inputs that wait for the home's thread.
 const RING_CAPACITY: usize = 16_384;
 
-/// Places in the ring that asks leave free for releases and reports: what frees memory must
-/// get through when what asks for it does not.
-const KEPT_FOR_RELEASES: usize = 4_096;
+/// Capacity of the ring that is reserved for releases and reports. Requests for grants leave it
+/// free, so that inputs that free memory still fit when requests for memory no longer do.
+const RESERVED_CAPACITY: usize = 4_096;
 
 pub(crate) type GrantReply = oneshot::Sender<Result<PromptGrant, GrantRefusal>>;
 
-/// What the home's thread takes in.
+/// An input of the home's thread.
 pub(crate) enum HomeInput {
     Tick,
     Ask(Box<GrantAsk>, GrantReply),
@@ -35,20 +37,20 @@
     Heartbeat(EndpointHeartbeat, oneshot::Sender<bool>),
     CacheEvents(CacheEvents),
     Leave(EndpointLeave, oneshot::Sender<bool>),
-    LetGo(EndpointId, oneshot::Sender<bool>),
-    Held { asked: MonotonicTime, endpoint: EndpointId, streams: Vec<HeldStream> },
+    ReleaseEndpoint(EndpointId, oneshot::Sender<bool>),
+    Held { queried_at: MonotonicTime, endpoint: EndpointId, streams: Vec<HeldStream> },
     Views(oneshot::Sender<Vec<EndpointView>>),
     Stop,
 }
 
-/// Asks the home's thread.
+/// A handle that sends inputs to the home's thread.
 #[derive(Clone)]
 pub(crate) struct HomeHandle {
     ring: Sender<HomeInput>,
 }
 
 impl HomeHandle {
-    /// Creates the handle and the ring's other end.
+    /// Creates the handle and the receiver of the ring.
     pub(crate) fn new() -> (Self, Receiver<HomeInput>) {
         let (ring, inputs) = bounded(RING_CAPACITY);
         (Self { ring }, inputs)
@@ -58,61 +60,62 @@
         self.ring.len()
     }
 
-    fn try_put(&self, input: HomeInput) -> bool {
+    fn try_send_input(&self, input: HomeInput) -> bool {
         self.ring.try_send(input).is_ok()
     }
 
-    /// Asks for the use of an endpoint and waits for the grant or the refusal.
+    /// Requests the use of an endpoint and waits for the grant or the refusal.
     pub(crate) async fn ask(&self, ask: GrantAsk) -> Result<PromptGrant, GrantRefusal> {
         let busy = GrantRefusal::Busy { retry_after: std::time::Duration::from_secs(1) };
-        if self.ring.len() + KEPT_FOR_RELEASES > RING_CAPACITY {
+        if self.ring.len() + RESERVED_CAPACITY > RING_CAPACITY {
             return Err(busy);
         }
         let (reply, answer) = oneshot::channel();
-        if !self.try_put(HomeInput::Ask(Box::new(ask), reply)) {
+        if !self.try_send_input(HomeInput::Ask(Box::new(ask), reply)) {
             return Err(busy);
         }
         answer.await.unwrap_or(Err(GrantRefusal::NotHome))
     }
 
     pub(crate) fn started(&self, attempt: AttemptId) -> bool {
-        self.try_put(HomeInput::Started(attempt))
+        self.try_send_input(HomeInput::Started(attempt))
     }
 
     pub(crate) fn release(&self, attempt: AttemptId, reason: ReleaseReason) -> bool {
-        self.try_put(HomeInput::Release(attempt, reason))
+        self.try_send_input(HomeInput::Release(attempt, reason))
     }
 
-    /// Renews grants; returns those that are not known, or none when the ring is full.
+    /// Renews grants. Returns the attempts that are not known, or `None` when the ring is full or
+    /// the thread has ended.
     pub(crate) async fn renew(
         &self,
         entry: InstanceId,
         attempts: Vec<AttemptId>,
     ) -> Option<Vec<AttemptId>> {
-        self.answered(|reply| HomeInput::Renew(entry, attempts, reply)).await
+        self.request(|reply| HomeInput::Renew(entry, attempts, reply)).await
     }
 
     pub(crate) fn announce(&self, announcement: EndpointAnnouncement, role: PoolRole) -> bool {
-        self.try_put(HomeInput::Announce(Box::new(announcement), role))
+        self.try_send_input(HomeInput::Announce(Box::new(announcement), role))
     }
 
     pub(crate) fn cache_events(&self, events: CacheEvents) {
-        self.try_put(HomeInput::CacheEvents(events));
+        self.try_send_input(HomeInput::CacheEvents(events));
     }
 
     pub(crate) fn held(
         &self,
-        asked: MonotonicTime,
+        queried_at: MonotonicTime,
         endpoint: EndpointId,
         streams: Vec<HeldStream>,
     ) {
-        self.try_put(HomeInput::Held { asked, endpoint, streams });
+        self.try_send_input(HomeInput::Held { queried_at, endpoint, streams });
     }
 
-    /// Returns the answer to an input; none when the ring is full or the thread has ended.
-    async fn answered<T>(&self, input: impl FnOnce(oneshot::Sender<T>) -> HomeInput) -> Option<T> {
+    /// Sends an input and returns its reply; `None` when the ring is full or the thread has ended.
+    async fn request<T>(&self, input: impl FnOnce(oneshot::Sender<T>) -> HomeInput) -> Option<T> {
         let (reply, answer) = oneshot::channel();
-        if !self.try_put(input(reply)) {
+        if !self.try_send_input(input(reply)) {
             return None;
         }
         answer.await.ok()
@@ -120,26 +123,26 @@
 
     /// Returns whether the endpoint is known.
     pub(crate) async fn heartbeat(&self, heartbeat: EndpointHeartbeat) -> bool {
-        self.answered(|reply| HomeInput::Heartbeat(heartbeat, reply)).await.unwrap_or(false)
+        self.request(|reply| HomeInput::Heartbeat(heartbeat, reply)).await.unwrap_or(false)
     }
 
     /// Returns whether the endpoint is known.
     pub(crate) async fn leave(&self, leave: EndpointLeave) -> bool {
-        self.answered(|reply| HomeInput::Leave(leave, reply)).await.unwrap_or(false)
+        self.request(|reply| HomeInput::Leave(leave, reply)).await.unwrap_or(false)
     }
 
-    /// Lets an endpoint go that has another home; returns whether it was known.
-    pub(crate) async fn let_go(&self, endpoint: EndpointId) -> bool {
-        self.answered(|reply| HomeInput::LetGo(endpoint, reply)).await.unwrap_or(false)
+    /// Releases an endpoint that has moved to another home. Returns whether it was known.
+    pub(crate) async fn release_endpoint(&self, endpoint: EndpointId) -> bool {
+        self.request(|reply| HomeInput::ReleaseEndpoint(endpoint, reply)).await.unwrap_or(false)
     }
 
     /// Lists the endpoints.
     pub(crate) async fn views(&self) -> Vec<EndpointView> {
-        self.answered(HomeInput::Views).await.unwrap_or_default()
+        self.request(HomeInput::Views).await.unwrap_or_default()
     }
 
     pub(crate) fn tick(&self) {
-        self.try_put(HomeInput::Tick);
+        self.try_send_input(HomeInput::Tick);
     }
 
     pub(crate) fn stop(&self) {
--- a/crates/daemon/src/home/chores.rs
+++ b/crates/daemon/src/home/tasks.rs
@@ -1,4 +1,5 @@
-//! The home's calls to endpoints and other daemons, which its own thread does not wait for.
+//! Background tasks of the home: calls to endpoints and other daemons, which run outside the
+//! home's thread so that they do not block it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,38 +12,38 @@
 use crate::peers::PeerQuestion;
 use crate::shared::DaemonShared;
 
-/// How long an endpoint may take to answer.
-const ENDPOINT_PATIENCE: Duration = Duration::from_secs(2);
+/// Timeout of a call to an endpoint.
+const ENDPOINT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long another daemon may take to take a digest.
-const DIGEST_PATIENCE: Duration = Duration::from_millis(500);
+/// Timeout for the delivery of a digest to another daemon.
+const DIGEST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Something to do for the home.
+/// A background task of the home.
 pub(crate) enum HomeTask {
+    /// Cancels an attempt on an endpoint.
     Cancel { address: SocketAddr, attempt: AttemptId },
+    /// Queries the streams that hold memory on an endpoint.
     Inspect { endpoint: EndpointId, address: SocketAddr },
+    /// Sends a digest to all members.
     Publish(HomeDigest),
 }
 
-/// Does chores until the ring's other end is gone.
-pub(crate) async fn run_home_tasks(
-    shared: Arc<DaemonShared>,
-    mut chores: mpsc::Receiver<HomeTask>,
-) {
-    while let Some(chore) = chores.recv().await {
+/// Runs tasks until the sender of the channel is dropped.
+pub(crate) async fn run_home_tasks(shared: Arc<DaemonShared>, mut tasks: mpsc::Receiver<HomeTask>) {
+    while let Some(task) = tasks.recv().await {
         let shared = Arc::clone(&shared);
-        match chore {
+        match task {
             HomeTask::Cancel { address, attempt } => {
                 tokio::spawn(async move {
-                    shared.endpoints.cancel(address, &attempt, ENDPOINT_PATIENCE).await;
+                    shared.endpoints.cancel(address, &attempt, ENDPOINT_TIMEOUT).await;
                 });
             }
             HomeTask::Inspect { endpoint, address } => {
                 tokio::spawn(async move {
-                    let asked = shared.now();
-                    let held = shared.endpoints.held(address, ENDPOINT_PATIENCE).await;
+                    let queried_at = shared.now();
+                    let held = shared.endpoints.held(address, ENDPOINT_TIMEOUT).await;
                     if let Some(streams) = held {
-                        shared.home.held(asked, endpoint, streams);
+                        shared.home.held(queried_at, endpoint, streams);
                     }
                 });
             }
@@ -51,7 +52,7 @@
     }
 }
 
-/// Tells every member what this home serves.
+/// Sends the digest of what this home serves to every member.
 fn publish(shared: &Arc<DaemonShared>, digest: HomeDigest) {
     let question = PeerQuestion::Digest(digest.clone()).encode();
     shared.digests.put(shared.now(), digest);
@@ -66,7 +67,7 @@
     for address in peers {
         let (shared, question) = (Arc::clone(shared), question.clone());
         tokio::spawn(async move {
-            let _ = shared.peers.ask_encoded(address, question, DIGEST_PATIENCE).await;
+            let _ = shared.peers.ask_encoded(address, question, DIGEST_TIMEOUT).await;
         });
     }
 }
--- a/crates/daemon/src/home/duty.rs
+++ b/crates/daemon/src/home/thread.rs
@@ -1,4 +1,4 @@
-//! The home's thread.
+//! The home's thread: owns the scheduler, feeds it inputs and executes its commands.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Weak};
@@ -15,8 +15,8 @@
 use super::{GrantReply, HomeInput, HomeTask};
 use crate::shared::DaemonShared;
 
-/// Ticks between two digests.
-const DIGEST_EVERY: u64 = 4;
+/// Ticks between two digests and between two updates of the metrics.
+const DIGEST_INTERVAL_TICKS: u64 = 4;
 
 /// Starts the home's thread.
 ///
@@ -26,7 +26,7 @@
 pub(crate) fn start_home(
     shared: &Arc<DaemonShared>,
     inputs: Receiver<HomeInput>,
-    chores: mpsc::Sender<HomeTask>,
+    tasks: mpsc::Sender<HomeTask>,
 ) -> std::io::Result<JoinHandle<()>> {
     let timing = &shared.settings.timing;
     let config = SchedulerConfig {
@@ -35,30 +35,30 @@
         endpoint_gone: timing.endpoint_gone,
         ..SchedulerConfig::default()
     };
-    let duty = HomeDuty {
+    let thread = HomeThread {
         scheduler: HomeScheduler::new(config),
         replies: HashMap::new(),
-        chores,
-        view_seen: LogIndex::ZERO,
+        tasks,
+        applied_view: LogIndex::ZERO,
         ticks: 0,
-        served: false,
+        was_serving: false,
         shared: Arc::downgrade(shared),
     };
-    std::thread::Builder::new().name("home".into()).spawn(move || duty.run(&inputs))
+    std::thread::Builder::new().name("home".into()).spawn(move || thread.run(&inputs))
 }
 
-struct HomeDuty {
+struct HomeThread {
     scheduler: HomeScheduler,
     replies: HashMap<AttemptId, GrantReply>,
-    chores: mpsc::Sender<HomeTask>,
-    view_seen: LogIndex,
+    tasks: mpsc::Sender<HomeTask>,
+    applied_view: LogIndex,
     ticks: u64,
-    /// Whether the last digest named anything.
-    served: bool,
+    /// Whether the last digest named a model or a service.
+    was_serving: bool,
     shared: Weak<DaemonShared>,
 }
 
-impl HomeDuty {
+impl HomeThread {
     fn run(mut self, inputs: &Receiver<HomeInput>) {
         while let Ok(input) = inputs.recv() {
             let Some(shared) = self.shared.upgrade() else { return };
@@ -100,11 +100,11 @@
                 let known = self.scheduler.leave(&leave.endpoint, leave.incarnation).is_ok();
                 let _ = reply.send(known);
             }
-            HomeInput::LetGo(endpoint, reply) => {
+            HomeInput::ReleaseEndpoint(endpoint, reply) => {
                 let _ = reply.send(self.scheduler.let_go(&endpoint));
             }
-            HomeInput::Held { asked, endpoint, streams } => {
-                self.scheduler.held_streams(now, asked, &endpoint, &streams);
+            HomeInput::Held { queried_at, endpoint, streams } => {
+                self.scheduler.held_streams(now, queried_at, &endpoint, &streams);
             }
             HomeInput::Views(reply) => {
                 let _ = reply.send(self.scheduler.endpoint_views());
@@ -115,31 +115,32 @@
 
     fn tick(&mut self, shared: &DaemonShared, now: MonotonicTime) {
         let mark = shared.view.mark();
-        if mark.index != self.view_seen {
-            self.view_seen = mark.index;
-            self.take_over_view(shared);
+        if mark.index != self.applied_view {
+            self.applied_view = mark.index;
+            self.apply_view(shared);
         }
         self.scheduler.tick(now);
         self.ticks += 1;
-        if self.ticks.is_multiple_of(DIGEST_EVERY) {
-            self.publish(shared);
-            self.report(shared);
+        if self.ticks.is_multiple_of(DIGEST_INTERVAL_TICKS) {
+            self.publish_digest(shared);
+            self.update_metrics(shared);
         }
     }
 
-    /// Tells the others what this home serves. One that serves nothing says so once and is then
-    /// silent: at any size, only some daemons are homes.
-    fn publish(&mut self, shared: &DaemonShared) {
+    /// Publishes the digest of what this home serves. A home that serves nothing publishes one
+    /// empty digest and then stops, because only some daemons are homes in a cluster of any size.
+    fn publish_digest(&mut self, shared: &DaemonShared) {
         let digest = self.scheduler.digest(shared.id(), shared.data_centre());
         let serves = !digest.models.is_empty() || !digest.services.is_empty();
-        let served = std::mem::replace(&mut self.served, serves);
-        if serves || served {
-            let _ = self.chores.try_send(HomeTask::Publish(digest));
+        let was_serving = std::mem::replace(&mut self.was_serving, serves);
+        if serves || was_serving {
+            let _ = self.tasks.try_send(HomeTask::Publish(digest));
         }
     }
 
-    /// Takes over the accounts' shares, and lets go of endpoints whose home is elsewhere.
-    fn take_over_view(&mut self, shared: &DaemonShared) {
+    /// Applies the accounts' shares to the scheduler and drops endpoints whose home is another
+    /// daemon.
+    fn apply_view(&mut self, shared: &DaemonShared) {
         for (name, spec) in shared.view.read().accounts() {
             if let Ok(account) = name.parse::<AccountId>() {
                 self.scheduler.set_share(&account, spec.share, spec.max_held);
@@ -151,7 +152,7 @@
         });
     }
 
-    fn report(&self, shared: &DaemonShared) {
+    fn update_metrics(&self, shared: &DaemonShared) {
         let metrics = &shared.metrics;
         let views = self.scheduler.endpoint_views();
         let sum = |size: fn(&EndpointView) -> u64| {
@@ -175,8 +176,8 @@
         metrics.ring_depth.with_label_values(&["home"]).set(depth);
     }
 
-    /// Carries out commands until there are none: giving back a grant that nobody waits for any
-    /// more may make room for another.
+    /// Executes the scheduler's commands until none are left. Executing a command may produce
+    /// more: the release of a grant whose requester is gone may make room for another grant.
     fn carry_out(&mut self, shared: &DaemonShared) {
         loop {
             let commands = self.scheduler.take_commands();
@@ -192,17 +193,18 @@
             HomeCommand::Grant(grant) => self.grant(shared, grant),
             HomeCommand::Refuse { attempt, refusal } => self.refuse(&attempt, refusal),
             HomeCommand::Cancel { address, attempt, .. } => {
-                self.chore(shared, HomeTask::Cancel { address, attempt });
+                self.submit_task(shared, HomeTask::Cancel { address, attempt });
             }
             HomeCommand::Inspect { endpoint, address } => {
-                self.chore(shared, HomeTask::Inspect { endpoint, address });
+                self.submit_task(shared, HomeTask::Inspect { endpoint, address });
             }
         }
     }
 
-    /// A chore that does not fit is left: the scheduler repeats what is not confirmed.
-    fn chore(&self, shared: &DaemonShared, chore: HomeTask) {
-        if self.chores.try_send(chore).is_err() {
+    /// Submits a background task. A task that finds the channel full is dropped: the scheduler
+    /// repeats commands that are not confirmed.
+    fn submit_task(&self, shared: &DaemonShared, task: HomeTask) {
+        if self.tasks.try_send(task).is_err() {
             shared.metrics.ring_refused("chores");
         }
     }
@@ -212,7 +214,7 @@
         let taken =
             self.replies.remove(&attempt).is_some_and(|reply| reply.send(Ok(grant)).is_ok());
         if !taken {
-            // Whoever asked has gone, so nothing was or will be sent.
+            // The requester is gone, so nothing was or will be sent under this grant.
             self.scheduler.release(shared.now(), &attempt, ReleaseReason::NeverSent);
         }
     }
--- a/crates/daemon/src/http/endpoints.rs
+++ b/crates/daemon/src/http/endpoints.rs
@@ -68,7 +68,7 @@
     // the new one means that the two never grant at the same time.
     let moved = moved_home(shared, &heartbeat.endpoint);
     if let Some(home) = moved {
-        let released = shared.home.let_go(heartbeat.endpoint).await;
+        let released = shared.home.release_endpoint(heartbeat.endpoint).await;
         let answer = HeartbeatAnswer { accepted: false, released, home: Some(home) };
         return Ok(answer::json(&answer));
     }
