--- a/crates/daemon/src/http/answer.rs
+++ b/crates/daemon/src/http/answer.rs
@@ -1,4 +1,4 @@
-//! Answers and errors as HTTP.
+//! Builds HTTP responses from answers and errors.
 
 use bytes::Bytes;
 use gotham::hyper::Response;
@@ -14,7 +14,7 @@
 
 use super::HttpResponse;
 
-/// The header that tells an error of the system from an answer of a plain service.
+/// The header that marks an error of the system, as opposed to an answer of a plain service.
 const ERROR_HEADER: &str = "x-oriolepass-error";
 
 pub(super) fn raw(status: u16, content_type: &str, body: impl Into<Bytes>) -> HttpResponse {
@@ -35,8 +35,9 @@
     raw(status, "application/json", body)
 }
 
-/// Answers a caller's call, or refuses it after whatever is left of its body.
-pub(super) async fn answered(
+/// Returns the response to a caller's call. A refusal is sent only after the rest of the body has
+/// been read and discarded.
+pub(super) async fn respond(
     mut state: State,
     result: Result<HttpResponse, ApiError>,
 ) -> (State, HttpResponse) {
@@ -62,13 +63,14 @@
     response
 }
 
-/// Gives gotham's own refusals the form of all others.
+/// Gives gotham's own errors the format of the API's errors.
 struct RouteError(ErrorCode);
 
 impl ResponseExtender<gotham::helpers::http::Body> for RouteError {
     fn extend(&self, state: &mut State, response: &mut HttpResponse) {
-        // gotham extends every response of the status, those of handlers included; what a
-        // handler says of a missing object must not turn into a missing call.
+        // gotham calls the extender for every response with the status, including those of
+        // handlers. A handler's error about a missing object must not be replaced by the error
+        // about an unknown route.
         if response.headers().contains_key(ERROR_HEADER) {
             return;
         }
@@ -77,7 +79,7 @@
     }
 }
 
-/// Makes a listener's router, whose own refusals have the form of all others.
+/// Builds a listener's router. Errors of the router itself have the format of the API's errors.
 pub(super) fn router(routes: impl FnOnce(&mut RouterBuilder<'_, (), ()>)) -> Router {
     build_simple_router(|route| {
         for (status, code) in ROUTE_ERRORS {
@@ -87,7 +89,7 @@
     })
 }
 
-/// The statuses that gotham gives to calls that match no route.
+/// The statuses that gotham returns for calls that match no route, with their error codes.
 const ROUTE_ERRORS: [(StatusCode, ErrorCode); 2] = [
     (StatusCode::NOT_FOUND, ErrorCode::NotFound),
     (StatusCode::METHOD_NOT_ALLOWED, ErrorCode::MethodNotAllowed),
--- a/crates/daemon/src/http/auth.rs
+++ b/crates/daemon/src/http/auth.rs
@@ -1,4 +1,4 @@
-//! Who is calling.
+//! Authenticates calls by their bearer key.
 
 use gotham::hyper::HeaderMap;
 use gotham::state::State;
@@ -7,9 +7,9 @@
 
 use crate::shared::DaemonShared;
 
-/// Returns the name of the object of a kind that holds the caller's key.
+/// Returns the name of the object of the given kind that owns the caller's key.
 ///
-/// The key is never part of an error: what a caller sent by mistake may be a key elsewhere.
+/// Errors never contain the key, because a key sent by mistake may be valid in another system.
 pub(super) fn owner(
     shared: &DaemonShared,
     state: &State,
--- a/crates/daemon/src/http/body.rs
+++ b/crates/daemon/src/http/body.rs
@@ -1,4 +1,4 @@
-//! Reads bodies within bounds of size, time and memory.
+//! Reads request bodies within limits on size, time and memory.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -14,16 +14,16 @@
 
 use crate::shared::DaemonShared;
 
-/// The longest body of an operators' or endpoints' call, in bytes.
-const MAX_CONTROL_BODY: u64 = 4 << 20;
+/// Maximum size of the body of an operators' or endpoints' call.
+const MAX_CONTROL_BODY_BYTES: u64 = 4 << 20;
 
-/// Bytes of a refused body that are read and thrown away.
-const MAX_DISCARDED: u64 = 64 << 20;
+/// Maximum number of bytes of a refused body that are read and discarded.
+const MAX_DISCARDED_BYTES: u64 = 64 << 20;
 
-/// How long throwing a refused body away may take.
-const DISCARD_TIME: Duration = Duration::from_secs(3);
+/// Timeout for discarding a refused body.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Counts a body's bytes for as long as it is in memory.
+/// A body in memory. Its bytes count towards `max_buffered_bytes` until it is dropped.
 pub(super) struct BufferedBody {
     pub(super) bytes: Bytes,
     shared: Arc<DaemonShared>,
@@ -35,7 +35,7 @@
         let limit = self.shared.settings.limits.max_buffered_bytes;
         let before = self.shared.buffered.fetch_add(bytes, Ordering::SeqCst);
         self.counted += bytes;
-        self.gauge();
+        self.update_gauge();
         if before + bytes > limit {
             let detail = "the daemon holds as many request bodies as it may";
             let error = ApiError::not_run(ErrorCode::Overloaded, detail);
@@ -44,7 +44,7 @@
         Ok(())
     }
 
-    fn gauge(&self) {
+    fn update_gauge(&self) {
         let total = self.shared.buffered.load(Ordering::SeqCst);
         self.shared.metrics.buffered_bytes.set(i64::try_from(total).unwrap_or(i64::MAX));
     }
@@ -53,7 +53,7 @@
 impl Drop for BufferedBody {
     fn drop(&mut self) {
         self.shared.buffered.fetch_sub(self.counted, Ordering::SeqCst);
-        self.gauge();
+        self.update_gauge();
     }
 }
 
@@ -61,15 +61,19 @@
     ApiError::not_run(ErrorCode::TooLarge, format!("the body has more than {limit} bytes"))
 }
 
-/// Reads a caller's body.
+/// Reads the body of a caller's call.
+///
+/// # Errors
+///
+/// Returns an error when the body exceeds a limit on size, memory or time, or breaks off.
 pub(super) async fn read_caller_body(
     shared: &Arc<DaemonShared>,
     state: &mut State,
 ) -> Result<BufferedBody, ApiError> {
     let limits = &shared.settings.limits;
     let mut buffered = BufferedBody { bytes: Bytes::new(), shared: Arc::clone(shared), counted: 0 };
-    let announced = announced_length(state);
-    if announced.is_some_and(|length| length > limits.max_body_bytes) {
+    let content_length = content_length(state);
+    if content_length.is_some_and(|length| length > limits.max_body_bytes) {
         return Err(too_large(limits.max_body_bytes));
     }
     let body = state.borrow_mut::<Body>();
@@ -98,17 +102,18 @@
     }
 }
 
-fn announced_length(state: &State) -> Option<u64> {
+fn content_length(state: &State) -> Option<u64> {
     let header = state.borrow::<HeaderMap>().get("content-length")?;
     header.to_str().ok()?.parse().ok()
 }
 
-/// Reads the rest of a body that was refused and throws it away.
+/// Reads and discards the rest of a refused body.
 ///
-/// A client that is still sending would otherwise meet a closed connection and never see why.
+/// Otherwise a client that is still sending finds the connection closed and never receives the
+/// error.
 pub(super) async fn discard(state: &mut State) {
     let Some(mut body) = state.try_take::<Body>() else { return };
-    let mut left = MAX_DISCARDED;
+    let mut left = MAX_DISCARDED_BYTES;
     let read = async {
         while let Some(Ok(frame)) = body.frame().await {
             let length = frame.data_ref().map_or(0, Bytes::len);
@@ -118,10 +123,10 @@
             }
         }
     };
-    let _ = tokio::time::timeout(DISCARD_TIME, read).await;
+    let _ = tokio::time::timeout(DISCARD_TIMEOUT, read).await;
 }
 
-/// Parses JSON, naming the place of a mistake.
+/// Parses JSON. The error gives the position of the fault.
 pub(super) fn parse<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, ApiError> {
     serde_json::from_slice(bytes).map_err(|error| {
         ApiError::not_run(ErrorCode::Malformed, format!("the body is not as expected: {error}"))
@@ -135,12 +140,12 @@
 ) -> Result<T, ApiError> {
     let body = http_body_util::Limited::new(
         Body::take_from(state),
-        usize::try_from(MAX_CONTROL_BODY).unwrap_or(usize::MAX),
+        usize::try_from(MAX_CONTROL_BODY_BYTES).unwrap_or(usize::MAX),
     );
-    let patience = shared.settings.limits.body_timeout;
-    let collected = tokio::time::timeout(patience, body.collect()).await.map_err(|_| {
+    let timeout = shared.settings.limits.body_timeout;
+    let collected = tokio::time::timeout(timeout, body.collect()).await.map_err(|_| {
         ApiError::not_run(ErrorCode::SlowRequest, "the body did not arrive in time")
     })?;
-    let bytes = collected.map_err(|_| too_large(MAX_CONTROL_BODY))?.to_bytes();
+    let bytes = collected.map_err(|_| too_large(MAX_CONTROL_BODY_BYTES))?.to_bytes();
     parse(&bytes)
 }
--- a/crates/daemon/src/http/callers.rs
+++ b/crates/daemon/src/http/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' calls.
+//! Handlers of the callers' calls, and their admission.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -31,7 +31,8 @@
     })
 }
 
-/// `GET /v1/addresses`: where to connect, best first, and for how long to believe it.
+/// `GET /v1/addresses`: the addresses to connect to, best first, and the time for which callers
+/// may keep the list.
 async fn addresses(shared: Arc<DaemonShared>, state: State) -> (State, HttpResponse) {
     let response = match auth::owner(&shared, &state, ObjectKind::Account) {
         Ok(account) => answer::json(&address_list(&shared, &account)),
@@ -40,14 +41,15 @@
     (state, response)
 }
 
-/// Ranks the daemons that serve: those of this daemon's own data centre first, and among equals
-/// in an order that differs by account, so that the accounts spread over them.
+/// Ranks the daemons that are not draining: those of this daemon's own data centre first. Within
+/// both parts the order differs by account, so that the accounts spread over the daemons.
 fn address_list(shared: &DaemonShared, account: &str) -> AddressList {
     let view = shared.view.read();
     let own = shared.data_centre();
     let mut members: Vec<&MemberRecord> =
         view.members().iter().filter(|member| !member.draining).collect();
-    members.sort_by_key(|m| (m.data_centre != *own, spread(account, m.instance.as_str())));
+    members
+        .sort_by_key(|m| (m.data_centre != *own, rank_for_account(account, m.instance.as_str())));
     let address = |member: &MemberRecord| EntryAddress {
         instance: member.instance.clone(),
         data_centre: member.data_centre.clone(),
@@ -60,7 +62,8 @@
     }
 }
 
-fn spread(account: &str, instance: &str) -> u64 {
+/// Returns the rank of an instance for an account, a hash of both names.
+fn rank_for_account(account: &str, instance: &str) -> u64 {
     let text = format!("{account}/{instance}");
     oriolepass_schema::digest::sha256_hex(text.as_bytes())
         .bytes()
@@ -68,14 +71,14 @@
         .fold(0, |sum, byte| sum.wrapping_mul(31).wrapping_add(u64::from(byte)))
 }
 
-/// Whom a request is from and how long it may take.
+/// The account of an admitted request and the time of its arrival.
 pub(super) struct Admission {
     pub(super) account: AccountId,
     pub(super) arrived: MonotonicTime,
 }
 
-/// Decides whether the daemon takes another request at all. The limits come before the key, so
-/// that calls without one cost nothing.
+/// Decides whether the daemon admits another request. The limits are checked before the key, so
+/// that calls without a key cost little.
 pub(super) fn admit(shared: &DaemonShared, state: &State) -> Result<Admission, ApiError> {
     let arrived = shared.now();
     if shared.drain_phase() == DrainPhase::Closed {
@@ -97,7 +100,7 @@
     Ok(Admission { account, arrived })
 }
 
-/// Returns when a request must have ended.
+/// Returns the deadline of a request.
 pub(super) fn deadline(
     shared: &DaemonShared,
     arrived: MonotonicTime,
--- a/crates/daemon/src/http/completions.rs
+++ b/crates/daemon/src/http/completions.rs
@@ -1,4 +1,4 @@
-//! Completion calls.
+//! Handlers of completion calls.
 
 use std::sync::Arc;
 
@@ -30,14 +30,14 @@
 /// `POST /v1/completions`.
 pub(super) async fn complete(shared: Arc<DaemonShared>, mut state: State) -> (State, HttpResponse) {
     let result = serve(&shared, &mut state, AnswerShape::Text, parse::<CompletionCall>).await;
-    answer::answered(state, result).await
+    answer::respond(state, result).await
 }
 
 /// `POST /v1/chat/completions`.
 pub(super) async fn chat(shared: Arc<DaemonShared>, mut state: State) -> (State, HttpResponse) {
     let read = |bytes: &[u8]| parse::<ChatCall>(bytes).map(CompletionCall::from);
     let result = serve(&shared, &mut state, AnswerShape::Chat, read).await;
-    answer::answered(state, result).await
+    answer::respond(state, result).await
 }
 
 async fn serve(
@@ -50,7 +50,8 @@
     let body = read_caller_body(shared, state).await?;
     let call = read(&body.bytes)?;
     let body_digest = sha256_hex(&body.bytes);
-    // The raw body is not needed any more; the prompt in `call` is counted by what it was.
+    // The raw body is no longer needed. Its byte count stands for the prompt in `call` until the
+    // request has started and the body is dropped.
     let frame = AnswerFrame {
         shape,
         id: format!("req-{}", shared.fresh_attempt()),
@@ -67,15 +68,15 @@
         }
         Some(first) if frame.options.stream => stream_answer(frame, first, events),
         Some(first) => whole_answer(&frame, first, events).await,
-        None => answer::error(&lost()),
+        None => answer::error(&task_ended()),
     })
 }
 
-fn lost() -> ApiError {
+fn task_ended() -> ApiError {
     ApiError::new(ErrorCode::Internal, RanState::Unknown, "the request's task has ended")
 }
 
-/// Checks a call against the limits and makes a request of it.
+/// Checks a call against the limits and converts it into a request.
 fn entry_request(
     shared: &DaemonShared,
     admission: &Admission,
@@ -124,14 +125,14 @@
     })
 }
 
-/// The shape of an answer, after the call that it answers.
+/// The format of an answer, which depends on the call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AnswerShape {
     Text,
     Chat,
 }
 
-/// What all pieces of one answer have in common.
+/// The fields that all pieces of an answer have in common.
 struct AnswerFrame {
     shape: AnswerShape,
     id: String,
@@ -139,7 +140,7 @@
     prompt_tokens: TokenCount,
 }
 
-/// A piece of an answer, or a whole one, in its shape.
+/// A piece of an answer, or a whole answer, in the format of its call.
 #[derive(Serialize)]
 #[serde(untagged)]
 enum ShapedAnswer {
@@ -148,7 +149,7 @@
 }
 
 impl AnswerFrame {
-    /// Shapes a text; `end` is there with the last one.
+    /// Formats a text. `end` is present with the last piece.
     fn shape(&self, text: String, end: Option<&AnswerEnd>) -> ShapedAnswer {
         let finish_reason = end.map(|end| end.finish_reason.clone());
         let usage = end.map(|end| TokenUsage {
@@ -206,7 +207,7 @@
     kept: bool,
 }
 
-/// Splits an outcome into the text that is still to be delivered and the end.
+/// Splits an outcome into the text that is still to be delivered and the end of the answer.
 fn end_of(outcome: RequestOutcome) -> Result<(String, AnswerEnd), ApiError> {
     match outcome {
         RequestOutcome::Done { tokens, digest, finish_reason, attempts } => {
@@ -235,7 +236,7 @@
     Ok((completion.text, end))
 }
 
-/// Collects an answer and gives it whole.
+/// Collects all pieces of an answer and returns them in a single response.
 async fn whole_answer(
     frame: &AnswerFrame,
     first: CallerEvent,
@@ -259,10 +260,10 @@
         }
         next = events.recv().await;
     }
-    answer::error(&lost())
+    answer::error(&task_ended())
 }
 
-/// Streams an answer as server-sent events. Only a whole one ends with `[DONE]`.
+/// Streams an answer as server-sent events. Only a complete answer ends with `[DONE]`.
 fn stream_answer(
     frame: AnswerFrame,
     first: CallerEvent,
@@ -286,7 +287,7 @@
         .expect("plain headers")
 }
 
-/// Writes an event; returns whether it is the last.
+/// Encodes an event. Also returns whether it is the last event of the answer.
 fn encode_event(frame: &AnswerFrame, event: CallerEvent) -> (Bytes, bool) {
     match event {
         CallerEvent::Piece(text) => (sse(&frame.shape(text, None)), false),
--- a/crates/daemon/src/http/endpoints.rs
+++ b/crates/daemon/src/http/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints' calls.
+//! Handlers of the endpoints' calls.
 
 use std::sync::Arc;
 
@@ -28,11 +28,14 @@
 }
 
 async fn announce(shared: Arc<DaemonShared>, mut state: State) -> (State, HttpResponse) {
-    let result = announce_one(&shared, &mut state).await;
+    let result = handle_announcement(&shared, &mut state).await;
     (state, result.unwrap_or_else(|error| answer::error(&error)))
 }
 
-async fn announce_one(shared: &DaemonShared, state: &mut State) -> Result<HttpResponse, ApiError> {
+async fn handle_announcement(
+    shared: &DaemonShared,
+    state: &mut State,
+) -> Result<HttpResponse, ApiError> {
     let role = pool_role(shared, state)?;
     let announcement: EndpointAnnouncement = read_control_json(shared, state).await?;
     let home = shared.home_of(&announcement.data_centre, &announcement.endpoint);
@@ -46,7 +49,7 @@
     }))
 }
 
-/// Returns the role of the pool that the caller's key belongs to.
+/// Returns the role of the pool that owns the key of the call.
 fn pool_role(shared: &DaemonShared, state: &State) -> Result<PoolRole, ApiError> {
     let pool = auth::owner(shared, state, ObjectKind::Pool)?;
     let view = shared.view.read();
@@ -57,15 +60,19 @@
 }
 
 async fn heartbeat(shared: Arc<DaemonShared>, mut state: State) -> (State, HttpResponse) {
-    let result = heartbeat_one(&shared, &mut state).await;
+    let result = handle_heartbeat(&shared, &mut state).await;
     (state, result.unwrap_or_else(|error| answer::error(&error)))
 }
 
-async fn heartbeat_one(shared: &DaemonShared, state: &mut State) -> Result<HttpResponse, ApiError> {
+async fn handle_heartbeat(
+    shared: &DaemonShared,
+    state: &mut State,
+) -> Result<HttpResponse, ApiError> {
     pool_role(shared, state)?;
     let heartbeat: EndpointHeartbeat = read_control_json(shared, state).await?;
-    // The home moves with the members. Letting the endpoint go before it announces itself at
-    // the new one means that the two never grant at the same time.
+    // A change of the members can move the endpoint to another home. The old home releases the
+    // endpoint before the endpoint announces itself at the new home, so that the two homes never
+    // grant at the same time.
     let moved = moved_home(shared, &heartbeat.endpoint);
     if let Some(home) = moved {
         let released = shared.home.release_endpoint(heartbeat.endpoint).await;
@@ -76,13 +83,14 @@
     Ok(answer::json(&HeartbeatAnswer { accepted, released: !accepted, home: None }))
 }
 
-/// Returns the address of the endpoint's home if that is another daemon now.
+/// Returns the address of the endpoint's home if it is another daemon.
 fn moved_home(
     shared: &DaemonShared,
     endpoint: &oriolepass_units::EndpointId,
 ) -> Option<std::net::SocketAddr> {
-    // A heartbeat names no data centre; an endpoint that is known here is in this daemon's, or
-    // its data centre has no daemon, in which case the next announcement sorts it out.
+    // A heartbeat names no data centre. An endpoint that is known here is in the data centre of
+    // this daemon, or its data centre has no daemon. In the second case the endpoint's next
+    // announcement finds the right home.
     let home = shared.home_of(shared.data_centre(), endpoint)?;
     (home.instance != *shared.id()).then_some(home.addresses.endpoints)
 }
@@ -102,7 +110,8 @@
     let result = async {
         pool_role(&shared, &state)?;
         let leave: EndpointLeave = read_control_json(&shared, &mut state).await?;
-        // Whoever is asked by mistake names the home, which is the one that has to know.
+        // A daemon that is not the home returns the address of the home, which must be told
+        // about the departure.
         let home = moved_home(&shared, &leave.endpoint);
         let accepted = shared.home.leave(leave).await;
         Ok(answer::json(&HeartbeatAnswer { accepted, released: false, home }))
--- a/crates/daemon/src/http/mod.rs
+++ b/crates/daemon/src/http/mod.rs
@@ -1,5 +1,5 @@
-//! The listeners: gotham's routers and handlers on connections that are bounded in number and
-//! time.
+//! The HTTP listeners for callers, operators and endpoints: gotham routers and handlers, on
+//! connections that are limited in number and time.
 
 mod answer;
 mod auth;
@@ -27,11 +27,11 @@
 
 use crate::shared::DaemonShared;
 
-/// What a handler made of a call.
+/// The response of a handler.
 pub(crate) type HttpResponse = Response<Body>;
 
-/// Lets handlers capture the shared state: gotham wants handlers to be unwind-safe, and the
-/// locks in the shared state are not poisoned by a handler, which panics outside of them.
+/// Lets handlers capture the shared state. gotham requires handlers to be unwind-safe. The shared
+/// state is, because handlers do not panic while they hold its locks and so never poison them.
 #[derive(Clone)]
 struct SharedState(Arc<DaemonShared>);
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// Makes a gotham handler of an async function over the shared state.
+/// Creates a gotham handler from an async function that takes the shared state.
 fn handler<F, Fut>(shared: &Arc<DaemonShared>, function: F) -> impl NewHandler + use<F, Fut>
 where
     F: Fn(Arc<DaemonShared>, State) -> Fut + Copy + Send + Sync + RefUnwindSafe + 'static,
--- a/crates/daemon/src/http/operators.rs
+++ b/crates/daemon/src/http/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' calls: queries first, then commands.
+//! Handlers of the operators' calls: queries first, then commands.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -25,14 +25,14 @@
 use crate::peers::{LeaderReport, PeerAnswer, PeerQuestion};
 use crate::shared::DaemonShared;
 
-/// How long the leader may take to commit a change.
-const COMMIT_PATIENCE: Duration = Duration::from_secs(8);
+/// Timeout for the leader to commit a change.
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// How long the leader may take to answer a query.
-const QUERY_PATIENCE: Duration = Duration::from_secs(3);
+/// Timeout for the leader to answer a query.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Audit records in one answer at most.
-const MAX_AUDIT_PAGE: u32 = 1_000;
+/// Maximum number of audit records in an answer.
+const MAX_AUDIT_RECORDS: u32 = 1_000;
 
 pub(crate) fn operator_router(shared: &Arc<DaemonShared>) -> Router {
     answer::router(|route| {
@@ -51,7 +51,7 @@
     })
 }
 
-/// Checks the key and answers with what `work` makes of the call.
+/// Authenticates a call as a team's and responds with the result of `work`.
 async fn as_team<F, Fut>(
     shared: Arc<DaemonShared>,
     mut state: State,
@@ -62,7 +62,7 @@
     Fut: Future<Output = Result<HttpResponse, ApiError>>,
 {
     let result = async {
-        // A restarted daemon may hold an earlier state than it has shown before.
+        // After a restart, a daemon may hold an older configuration than it served before.
         if !shared.freshness.was_current() {
             let detail = "this daemon has not caught up with the accepted configuration yet";
             let error = ApiError::not_run(ErrorCode::NotReady, detail);
@@ -77,7 +77,7 @@
     (state, response)
 }
 
-/// A call's path, its query and its body, if it has one.
+/// A call's path, query and body, if it has one.
 struct CallParts {
     path: String,
     query: HashMap<String, String>,
@@ -119,8 +119,8 @@
     (state, answer::raw(200, "text/plain", "live\n"))
 }
 
-/// Ready means: asks may be sent here. A daemon that is draining or may hold an old
-/// configuration is live, but not ready.
+/// Reports whether requests may be sent to this daemon. A daemon that is draining or may hold an
+/// outdated configuration is live, but not ready.
 async fn ready(shared: Arc<DaemonShared>, state: State) -> (State, HttpResponse) {
     let response = if shared.is_ready() {
         answer::raw(200, "text/plain", "ready\n")
@@ -207,7 +207,7 @@
     shared: &DaemonShared,
     leader: &mut LeaderClient,
 ) -> Result<LeaderReport, ApiError> {
-    let answer = leader.ask(shared, &PeerQuestion::LeaderReport, QUERY_PATIENCE).await;
+    let answer = leader.ask(shared, &PeerQuestion::LeaderReport, QUERY_TIMEOUT).await;
     match answer {
         Ok(PeerAnswer::LeaderReport(Ok(report))) => Ok(report),
         _ => Err(no_leader()),
@@ -219,7 +219,7 @@
         .retry_after(Duration::from_secs(2))
 }
 
-/// `GET /v1/in-force`: whether every member has a revision in force.
+/// `GET /v1/in-force`: whether a revision is in force on every member.
 async fn in_force(shared: Arc<DaemonShared>, state: State) -> (State, HttpResponse) {
     as_team(shared, state, |shared, _, parts| async move {
         let mark = shared.view.mark();
@@ -239,9 +239,9 @@
 async fn audit(shared: Arc<DaemonShared>, state: State) -> (State, HttpResponse) {
     as_team(shared, state, |shared, _, parts| async move {
         let after = parts.parsed("after")?.unwrap_or(0);
-        let limit = parts.parsed("limit")?.unwrap_or(MAX_AUDIT_PAGE).min(MAX_AUDIT_PAGE);
+        let limit = parts.parsed("limit")?.unwrap_or(MAX_AUDIT_RECORDS).min(MAX_AUDIT_RECORDS);
         let question = PeerQuestion::Audit { after, limit };
-        match LeaderClient::default().ask(&shared, &question, QUERY_PATIENCE).await {
+        match LeaderClient::default().ask(&shared, &question, QUERY_TIMEOUT).await {
             Ok(PeerAnswer::Audit(Ok(trail))) => Ok(answer::json(&trail)),
             _ => Err(no_leader()),
         }
@@ -251,15 +251,15 @@
 
 // Commands.
 
-/// `POST /v1/changes`. Asking again after a lost leader is safe: the change id makes the log
-/// answer a resend with the first answer.
+/// `POST /v1/changes`. A resend after the loss of the leader is safe: the log recognises the
+/// change id and returns the first answer.
 async fn change(shared: Arc<DaemonShared>, state: State) -> (State, HttpResponse) {
     as_team(shared, state, |shared, team, mut parts| async move {
         let call: ChangeCall = parts.json()?;
         match propose(&shared, ReplicatedCommand::Change(ChangeCommand { team, call })).await? {
             ApplyOutcome::Changed(changed) => Ok(answer::json(&changed)),
             ApplyOutcome::Refused(error) => Err(error),
-            _ => Err(unexpected()),
+            _ => Err(unexpected_answer()),
         }
     })
     .await
@@ -270,22 +270,22 @@
     command: ReplicatedCommand,
 ) -> Result<ApplyOutcome, ApiError> {
     let question = PeerQuestion::Propose(command);
-    match LeaderClient::default().ask(shared, &question, COMMIT_PATIENCE).await {
+    match LeaderClient::default().ask(shared, &question, COMMIT_TIMEOUT).await {
         Ok(PeerAnswer::Proposed(Ok(outcome))) => Ok(outcome),
-        Ok(_) => Err(unexpected()),
+        Ok(_) => Err(unexpected_answer()),
         Err(error @ (LeaderError::NoLeader | LeaderError::Lost)) => {
-            // An earlier try may have been committed although its answer was lost.
+            // An earlier proposal may have been committed although its answer was lost.
             let error = ApiError::new(ErrorCode::NoQuorum, RanState::Unknown, error);
             Err(error.retry_after(Duration::from_secs(2)))
         }
     }
 }
 
-fn unexpected() -> ApiError {
+fn unexpected_answer() -> ApiError {
     ApiError::new(ErrorCode::Internal, RanState::Unknown, "the log answered something else")
 }
 
-/// `POST /v1/drain`: any team may let a daemon leave; it comes back by starting again.
+/// `POST /v1/drain`: an admin team drains a daemon. The daemon rejoins when it is restarted.
 async fn drain(shared: Arc<DaemonShared>, state: State) -> (State, HttpResponse) {
     as_team(shared, state, |shared, team, mut parts| async move {
         let call: DrainCall = parts.json()?;
@@ -301,7 +301,7 @@
     .await
 }
 
-/// `POST /v1/voters`: which instances should hold the log.
+/// `POST /v1/voters`: sets the instances that should replicate the log as voters.
 async fn voters(shared: Arc<DaemonShared>, state: State) -> (State, HttpResponse) {
     as_team(shared, state, |shared, team, mut parts| async move {
         let call: VotersCall = parts.json()?;
@@ -311,7 +311,7 @@
             return Err(ApiError::not_run(ErrorCode::Malformed, detail));
         }
         let question = PeerQuestion::WantVoters(call.wanted.clone());
-        match LeaderClient::default().ask(&shared, &question, QUERY_PATIENCE).await {
+        match LeaderClient::default().ask(&shared, &question, QUERY_TIMEOUT).await {
             Ok(PeerAnswer::VotersWanted(Ok(()))) => Ok(answer::json(&call)),
             _ => Err(no_leader()),
         }
--- a/crates/daemon/src/http/server.rs
+++ b/crates/daemon/src/http/server.rs
@@ -1,4 +1,4 @@
-//! Accepts connections and serves them with a gotham router.
+//! Accepts connections and serves them through a gotham router.
 
 use std::panic::AssertUnwindSafe;
 use std::sync::Arc;
@@ -14,28 +14,28 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
 
-/// The time in which a call's headers must arrive, and a connection may stay idle.
+/// Timeout for the headers of a call, and for an idle connection.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Bytes of headers at most.
+/// Maximum size of the headers of a call.
 const MAX_HEADER_BYTES: usize = 64 * 1024;
 
-/// Serves a listener until the task is aborted. Connections over the limit wait in the
-/// operating system's queue until another one has ended.
+/// Serves a listener until the task is aborted. Connections over the limit wait in the accept
+/// queue of the operating system until another connection ends.
 pub(crate) async fn serve(listener: TcpListener, router: Router, max_connections: usize) {
     let router = Arc::new(router);
-    let places = Arc::new(Semaphore::new(max_connections));
+    let permits = Arc::new(Semaphore::new(max_connections));
     loop {
-        let Ok(place) = Arc::clone(&places).acquire_owned().await else { return };
+        let Ok(permit) = Arc::clone(&permits).acquire_owned().await else { return };
         let Ok((socket, _)) = listener.accept().await else {
-            // Out of descriptors, most likely: give others time to end.
+            // The likely cause is a lack of file descriptors. Open connections get time to end.
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
         let router = Arc::clone(&router);
         tokio::spawn(async move {
             serve_connection(socket, router).await;
-            drop(place);
+            drop(permit);
         });
     }
 }
@@ -52,6 +52,6 @@
         .header_read_timeout(HEADER_TIMEOUT)
         .max_buf_size(MAX_HEADER_BYTES)
         .serve_connection(TokioIo::new(socket), service);
-    // Errors here are the other side's: a cut connection or bytes that are not HTTP.
+    // Errors are caused by the peer: a closed connection or bytes that are not HTTP.
     let _ = connection.await;
 }
--- a/crates/daemon/src/http/services.rs
+++ b/crates/daemon/src/http/services.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services.
+//! Handlers of calls to plain services.
 
 use std::sync::Arc;
 
@@ -18,19 +18,19 @@
 use crate::entry::{CallerEvent, ClaimSpec, EntryRequest, ServiceCall, WorkBody, start_request};
 use crate::shared::DaemonShared;
 
-/// Whether the call may be repeated: `yes` or `no`; without it, `no`.
+/// The header that says whether the call may be repeated: `yes` or `no`. The default is `no`.
 const REPEATABLE_HEADER: &str = "x-oriolepass-repeatable";
 
-/// The caller's name for a call that must not be repeated.
+/// The header with the caller key, which identifies a call that must not be repeated.
 const KEY_HEADER: &str = "x-oriolepass-caller-key";
 
-/// The time that the call may take, in milliseconds.
+/// The header with the time that the call may take, in milliseconds.
 const DEADLINE_HEADER: &str = "x-oriolepass-deadline-ms";
 
 /// `POST /v1/services/{name}/{path}`.
 pub(super) async fn call(shared: Arc<DaemonShared>, mut state: State) -> (State, HttpResponse) {
     let result = serve(&shared, &mut state).await;
-    answer::answered(state, result).await
+    answer::respond(state, result).await
 }
 
 fn malformed(detail: impl std::fmt::Display) -> ApiError {
@@ -45,8 +45,8 @@
     let service: ServiceName = name.parse().map_err(malformed)?;
     let headers = state.borrow::<HeaderMap>().clone();
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
-    // Without a word on it, a call is taken for one that must not be repeated: the caller who
-    // forgets the header loses a retry, not money.
+    // Without the header, a call counts as one that must not be repeated. A caller that forgets
+    // the header then loses a retry; the opposite default could run a call twice and cost money.
     let repeatable = match text(REPEATABLE_HEADER) {
         Some("yes") => true,
         None | Some("no") => false,
@@ -99,7 +99,7 @@
             CallerEvent::Finished(outcome) => return answer_of(*outcome, head, text),
         }
     }
-    Err(lost())
+    Err(task_ended())
 }
 
 fn answer_of(
@@ -114,12 +114,12 @@
             Ok(answer::raw(kept.status, &kept.content_type, body))
         }
         RequestOutcome::Done { .. } => {
-            let head = head.ok_or_else(lost)?;
+            let head = head.ok_or_else(task_ended)?;
             Ok(answer::raw(head.status, &head.content_type, text))
         }
     }
 }
 
-fn lost() -> ApiError {
+fn task_ended() -> ApiError {
     ApiError::new(ErrorCode::Internal, RanState::Unknown, "the call's task has ended")
 }
