--- a/crates/daemon/src/http/operators.rs
+++ b/crates/daemon/src/http/operators.rs
@@ -77,7 +77,7 @@
     (state, response)
 }
 
-/// A call's path, query and body, if it has one.
+/// A call's path and query, and its body if it has one.
 struct CallParts {
     path: String,
     query: HashMap<String, String>,
