--- a/crates/daemon/src/entry/mod.rs
+++ b/crates/daemon/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry's duty: requests of callers, from admission to their end.
+//! The entry role of a daemon: runs callers' requests from admission to completion.
 
 mod client;
 mod driver;
@@ -10,4 +10,4 @@
 
 pub(crate) use client::{EndpointClient, ServiceCall};
 pub(crate) use driver::{CallerEvent, ClaimSpec, EntryRequest, WorkBody, start_request};
-pub(crate) use grants::GrantKeeper;
+pub(crate) use grants::ActiveGrants;
