--- a/crates/daemon/src/peers/server.rs
+++ b/crates/daemon/src/peers/server.rs
@@ -82,7 +82,7 @@
             self.key.verify(ProofSide::Client, nonce, &instance, proof)
         });
         let Some((_, (_, peer_nonce))) = proved else {
-            return Err(capnp::Error::failed("the peer does not know the cluster key".into()));
+            return Err(capnp::Error::failed("wrong cluster key".into()));
         };
         let counter_proof = self.key.prove(ProofSide::Server, peer_nonce, &instance);
         results.get().set_counter_proof(&counter_proof);
--- a/crates/gateway/src/home.rs
+++ b/crates/gateway/src/home.rs
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Records that the home record_answer in time. If the home was away before, sends it the running prompts.
+    /// Records that the home answered in time. If the home was away before, sends it the running prompts.
     pub(crate) fn on_home_answer(&self) {
         if self.home.borrow_mut().watch.record_answer() {
             self.on_new_home();
