--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -202,7 +202,7 @@
             Ok(next) if *before == next => {
                 line.text("outcome", "unchanged");
             }
-            Ok(next) if !before.may_become(&next) => {
+            Ok(next) if !before.can_reload_as(&next) => {
                 let reason = "names, addresses and the data folder need a restart";
                 line.text("outcome", "partly taken over").text("reason", reason);
                 let kept = GatewaySettings {
--- a/crates/settings/src/gateway.rs
+++ b/crates/settings/src/gateway.rs
@@ -340,7 +340,7 @@
 
     /// Returns whether a changed settings file may be taken over without a restart: everything
     /// but the addresses, the names and the data folder.
-    pub fn may_become(&self, next: &Self) -> bool {
+    pub fn can_reload_as(&self, next: &Self) -> bool {
         self.listen == next.listen
             && self.name == next.name
             && self.data_centre == next.data_centre
