--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,4 +1,4 @@
-//! Reads a settings file into typed settings.
+//! Typed settings of the daemon, and the checks between settings.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -10,119 +10,119 @@
 use crate::reader::{self, SettingsReader, parse_voters};
 use crate::spec::SETTING_SPECS;
 
-/// Shortest cluster key accepted, in characters.
-const MIN_CLUSTER_KEY: usize = 16;
+/// Minimum length of the cluster key, in bytes (characters of an ASCII key).
+const MIN_CLUSTER_KEY_BYTES: usize = 16;
 
-/// A voter with its address for peers.
+/// A voter with its peer address.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VoterAddress {
-    /// The instance.
+    /// Instance id of the voter.
     pub instance: InstanceId,
-    /// Where other daemons connect.
+    /// Address that other daemons connect to.
     pub peers: SocketAddr,
 }
 
-/// What the instance is.
+/// Identity of the instance and its data folder.
 #[derive(Debug, Clone)]
 pub struct InstanceSettings {
-    /// Its name.
+    /// Unique name of the instance.
     pub id: InstanceId,
-    /// Its data centre.
+    /// Data centre of the instance.
     pub data_centre: DataCentreId,
-    /// Where it keeps files, if it does.
+    /// Folder for persistent files; `None` if the instance stores none.
     pub data_folder: Option<PathBuf>,
 }
 
-/// Where the daemon listens.
+/// Listen addresses of the daemon.
 #[derive(Debug, Clone)]
 pub struct ListenSettings {
-    /// For callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// For operators.
+    /// Address for operators, metrics and health checks.
     pub operators: SocketAddr,
-    /// For endpoints.
+    /// Address for announcements from endpoints.
     pub endpoints: SocketAddr,
-    /// For other daemons.
+    /// Address for other daemons.
     pub peers: SocketAddr,
 }
 
-/// Times of the protocols.
+/// Intervals and timeouts of the protocols.
 #[derive(Debug, Clone)]
 pub struct TimingSettings {
-    /// Between heartbeats of the leader.
+    /// Interval between heartbeats of the leader.
     pub heartbeat: Duration,
-    /// The least time without a leader before an election.
+    /// Minimum time without a leader before an election starts.
     pub election: Duration,
-    /// The most that two clocks differ in rate, in percent.
+    /// Maximum difference in rate between two clocks, in percent.
     pub drift_percent: u32,
-    /// How long an instance is a member without word from it.
+    /// Time that an instance remains a member without a message from it.
     pub member_lease: Duration,
-    /// Between heartbeats of an endpoint.
+    /// Interval between heartbeats of an endpoint.
     pub endpoint_heartbeat: Duration,
-    /// Without a heartbeat before an endpoint gets no new work.
+    /// Time without a heartbeat after which an endpoint gets no new requests.
     pub endpoint_suspect: Duration,
-    /// Without a heartbeat before an endpoint is forgotten.
+    /// Time without a heartbeat after which an endpoint is removed.
     pub endpoint_gone: Duration,
-    /// How long a grant lasts without renewal.
+    /// Lease time of a grant that is not renewed.
     pub grant_lease: Duration,
-    /// How long callers keep addresses.
+    /// Time that callers may cache addresses.
     pub address_keep: Duration,
-    /// The longest graceful shutdown.
+    /// Maximum duration of a graceful shutdown.
     pub drain: Duration,
 }
 
-/// Limits on what callers may ask.
+/// Limits on requests from callers, and the number of threads that serve them.
 #[derive(Debug, Clone)]
 pub struct LimitSettings {
-    /// The longest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: u64,
-    /// The longest prompt, in tokens.
+    /// Maximum length of a prompt, in tokens.
     pub max_prompt_tokens: u64,
-    /// The longest answer, in tokens.
+    /// Maximum length of an answer, in tokens.
     pub max_answer_tokens: u64,
-    /// Requests at a time.
+    /// Maximum number of concurrent requests.
     pub max_requests: u64,
-    /// Request bodies in memory at a time, in bytes.
+    /// Maximum total size of the request bodies in memory, in bytes.
     pub max_buffered_bytes: u64,
-    /// The time for a body to arrive.
+    /// Time within which a request body must arrive.
     pub body_timeout: Duration,
-    /// The time that a full stream may stay unread.
+    /// Time that a caller may leave a full stream unread.
     pub reader_timeout: Duration,
-    /// The time of a request that names none.
+    /// Deadline of a request that does not set one.
     pub default_deadline: Duration,
-    /// The longest time of a request.
+    /// Maximum deadline that a request may set.
     pub max_deadline: Duration,
-    /// Threads that serve callers.
+    /// Number of threads that serve callers.
     pub worker_threads: usize,
 }
 
-/// All settings of a daemon, checked.
+/// Validated settings of a daemon.
 #[derive(Debug, Clone)]
 pub struct DaemonSettings {
-    /// What the instance is.
+    /// Identity of the instance and its data folder.
     pub instance: InstanceSettings,
-    /// Where it listens.
+    /// Listen addresses.
     pub listen: ListenSettings,
-    /// The first voters.
+    /// Initial voters of the replicated log.
     pub voters: Vec<VoterAddress>,
-    /// The key shared by all daemons.
+    /// Key shared by all daemons.
     pub cluster_key: String,
-    /// The hash of the first operators' key.
+    /// SHA-256 hash of the initial operator key.
     pub root_key_sha256: Option<String>,
-    /// Times of the protocols.
+    /// Intervals and timeouts of the protocols.
     pub timing: TimingSettings,
-    /// Limits on what callers may ask.
+    /// Limits on requests from callers.
     pub limits: LimitSettings,
-    /// The least severe log lines that are written.
+    /// Minimum severity of the log lines that are written.
     pub log_level: String,
 }
 
 impl DaemonSettings {
-    /// Reads and checks a file, the key file that it names included.
+    /// Reads and validates a settings file and the key file that it refers to.
     ///
     /// # Errors
     ///
-    /// Returns every problem of the file at once.
+    /// Returns an error if a file cannot be read, or an error with every problem of the file.
     pub fn load(file: &Path) -> Result<Self, SettingsError> {
         let name = file.display().to_string();
         let unreadable = |source| SettingsError::Unreadable { file: name.clone(), source };
@@ -130,11 +130,11 @@
         Self::parse(&name, &text, |path| std::fs::read_to_string(path))
     }
 
-    /// Checks settings given as text; `read_key` reads the cluster key's file.
+    /// Validates settings given as text; `read_key` reads the file with the cluster key.
     ///
     /// # Errors
     ///
-    /// Returns every problem of the text at once.
+    /// Returns an error with every problem of the text.
     pub fn parse(
         name: &str,
         text: &str,
@@ -143,7 +143,7 @@
         reader::read(name, text, SETTING_SPECS, |reader| reader.build(read_key))
     }
 
-    /// Returns whether this daemon is one of the first voters.
+    /// Returns whether this daemon is one of the initial voters.
     pub fn is_voter(&self) -> bool {
         self.voters.iter().any(|voter| voter.instance == self.instance.id)
     }
@@ -180,7 +180,7 @@
             limits: self.limits()?,
             log_level: self.text("log", "level")?.to_owned(),
         };
-        self.check_clashes(&settings);
+        self.check_consistency(&settings);
         Some(settings)
     }
 
@@ -220,46 +220,48 @@
     ) -> Option<String> {
         let file = self.text("cluster", "key_file")?.to_owned();
         let (read, remedy) = match read_key(Path::new(&file)) {
-            Ok(key) if key.trim().len() >= MIN_CLUSTER_KEY => return Some(key.trim().to_owned()),
+            Ok(key) if key.trim().len() >= MIN_CLUSTER_KEY_BYTES => {
+                return Some(key.trim().to_owned());
+            }
             Ok(key) => (
                 format!("a key of {} characters in {file:?}", key.trim().len()),
-                format!("put a key of at least {MIN_CLUSTER_KEY} into that file"),
+                format!("put a key of at least {MIN_CLUSTER_KEY_BYTES} characters into that file"),
             ),
             Err(error) => {
                 (format!("{file:?} ({error})"), "name a readable file with the key".to_owned())
             }
         };
-        self.problem("cluster", "key_file", read, remedy);
+        self.add_problem("cluster", "key_file", read, remedy);
         None
     }
 
-    fn check_clashes(&mut self, settings: &DaemonSettings) {
+    fn check_consistency(&mut self, settings: &DaemonSettings) {
         let timing = &settings.timing;
-        self.check_order(
+        self.check_upper_bound(
             ("timing", "heartbeat_ms"),
             timing.heartbeat * 3,
             timing.election,
             "a third of election_ms",
         );
-        self.check_order(
+        self.check_upper_bound(
             ("timing", "election_ms"),
             timing.election,
             timing.member_lease,
             "member_lease_ms",
         );
-        self.check_order(
+        self.check_upper_bound(
             ("timing", "endpoint_heartbeat_ms"),
             timing.endpoint_heartbeat * 2,
             timing.endpoint_suspect,
             "half of endpoint_suspect_ms",
         );
-        self.check_order(
+        self.check_upper_bound(
             ("timing", "endpoint_suspect_ms"),
             timing.endpoint_suspect,
             timing.endpoint_gone,
             "endpoint_gone_ms",
         );
-        self.check_order(
+        self.check_upper_bound(
             ("limits", "default_deadline_ms"),
             settings.limits.default_deadline,
             settings.limits.max_deadline,
@@ -267,28 +269,29 @@
         );
         if settings.is_voter() && settings.instance.data_folder.is_none() {
             let remedy = "name a folder on a disk, or take the instance out of [cluster] voters";
-            self.problem(
+            self.add_problem(
                 "instance",
                 "data_folder",
-                "nothing, but it is a voter",
+                "no value, but the instance is a voter",
                 remedy.to_owned(),
             );
         }
         if settings.voters.len().is_multiple_of(2) {
-            let remedy = "name an odd number of voters (1, 3 or 5): one more adds no safety";
+            let remedy = "name an odd number of voters (1, 3 or 5): \
+                          an even number tolerates no more failures";
             let read = format!("{} voters", settings.voters.len());
-            self.problem("cluster", "voters", read, remedy.to_owned());
+            self.add_problem("cluster", "voters", read, remedy.to_owned());
         }
-        let own = settings.voters.iter().find(|v| v.instance == settings.instance.id);
-        if own.is_some_and(|v| v.peers != settings.listen.peers) {
+        let own_voter = settings.voters.iter().find(|v| v.instance == settings.instance.id);
+        if own_voter.is_some_and(|v| v.peers != settings.listen.peers) {
             let read = format!("{}", settings.listen.peers);
             let remedy = "write the same address here and in [cluster] voters".to_owned();
-            self.problem("listen", "peers", read, remedy);
+            self.add_problem("listen", "peers", read, remedy);
         }
-        self.check_listeners(&settings.listen);
+        self.check_distinct_listeners(&settings.listen);
     }
 
-    fn check_order(
+    fn check_upper_bound(
         &mut self,
         (section, key): (&'static str, &'static str),
         smaller: Duration,
@@ -297,11 +300,11 @@
     ) {
         if smaller > larger {
             let read = self.text(section, key).unwrap_or_default().to_owned();
-            self.problem(section, key, read, format!("write at most {limit}"));
+            self.add_problem(section, key, read, format!("write at most {limit}"));
         }
     }
 
-    fn check_listeners(&mut self, listen: &ListenSettings) {
+    fn check_distinct_listeners(&mut self, listen: &ListenSettings) {
         let all = [
             ("callers", listen.callers),
             ("operators", listen.operators),
@@ -309,10 +312,10 @@
             ("peers", listen.peers),
         ];
         for (position, (key, address)) in all.iter().enumerate() {
-            let twin = all[..position].iter().find(|(_, other)| other == address);
-            if let Some((other, _)) = twin.filter(|_| address.port() != 0) {
-                let remedy = format!("write another address than [listen] {other}");
-                self.problem("listen", key, address.to_string(), remedy);
+            let duplicate = all[..position].iter().find(|(_, other)| other == address);
+            if let Some((other, _)) = duplicate.filter(|_| address.port() != 0) {
+                let remedy = format!("write an address that differs from [listen] {other}");
+                self.add_problem("listen", key, address.to_string(), remedy);
             }
         }
     }
--- a/crates/settings/src/gateway.rs
+++ b/crates/settings/src/gateway.rs
@@ -1,4 +1,5 @@
-//! Settings of a gateway: a daemon that finds the others by seeds and forwards any HTTP request.
+//! Defines and reads the settings of a gateway, a daemon that discovers the others through seeds and
+//! forwards any HTTP request.
 
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
@@ -11,7 +12,7 @@
 use crate::reader::{self, SettingsReader, parse_addresses};
 use crate::spec::{SettingKind, SettingSpec};
 
-const FLAG: SettingKind = SettingKind::Word(&["true", "false"]);
+const BOOLEAN: SettingKind = SettingKind::Word(&["true", "false"]);
 
 const fn integer(max: u64) -> SettingKind {
     SettingKind::Integer { min: 0, max }
@@ -28,7 +29,7 @@
     SettingSpec { section, key, kind, unit, default, help }
 }
 
-/// Every setting of a gateway, in the order of the reference page.
+/// All settings of a gateway, in the order of the reference page.
 pub const GATEWAY_SPECS: &[SettingSpec] = &[
     spec("instance", "name", SettingKind::Identifier, "", None, "The instance's name, for logs."),
     spec("instance", "data_centre", SettingKind::Identifier, "", None, "The data centre."),
@@ -93,7 +94,7 @@
     spec(
         "cluster",
         "may_found",
-        FLAG,
+        BOOLEAN,
         "",
         Some("false"),
         "Whether this daemon, with an empty disk, may take part in founding a new system.",
@@ -157,7 +158,7 @@
     spec(
         "bounds",
         "fail_closed",
-        FLAG,
+        BOOLEAN,
         "",
         Some("true"),
         "Whether requests with keys are refused where the document cannot be proved current.",
@@ -228,118 +229,120 @@
     ),
 ];
 
-/// Where a gateway listens.
+/// Listen addresses of a gateway.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GatewayListen {
-    /// For callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// For the platform's readiness checks.
+    /// Address for the platform's readiness checks.
     pub readiness: SocketAddr,
-    /// For operators and endpoints.
+    /// Address for operators and endpoints.
     pub control: SocketAddr,
-    /// For callers that ask which instance to use.
+    /// Address for callers that ask which instance to use.
     pub directory: SocketAddr,
-    /// For other daemons, as they reach it.
+    /// Address under which other daemons reach this one.
     pub peers: SocketAddr,
-    /// Where other daemons' connections arrive here.
+    /// Local address that accepts connections from other daemons.
     pub peers_bind: SocketAddr,
-    /// For the metrics.
+    /// Address for the metrics.
     pub metrics: SocketAddr,
 }
 
-/// How a gateway finds the others.
+/// Discovery of the other daemons.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SeedSettings {
-    /// Instances to ask.
+    /// Instances to query for the other daemons.
     pub hosts: BTreeSet<IpAddr>,
-    /// Whether it may take part in founding a system.
+    /// Whether this gateway, with an empty disk, may take part in founding a new system.
     pub may_found: bool,
 }
 
-/// What may be lost at one time.
+/// Simultaneous failures that the system must tolerate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ToleranceSettings {
-    /// Instances with a disk.
+    /// Number of instances with a disk.
     pub instances: usize,
-    /// Data centres.
+    /// Number of data centres.
     pub data_centres: usize,
 }
 
 /// Bounds that the platform sets.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GatewayBounds {
-    /// Between heartbeats of an endpoint.
+    /// Interval between heartbeats of an endpoint.
     pub endpoint_heartbeat: Duration,
-    /// Until a routing document is acknowledged.
+    /// Maximum time until a routing document is acknowledged.
     pub acknowledge: Duration,
-    /// From the acknowledgement until a document is in force everywhere.
+    /// Maximum time from the acknowledgement of a document until it is in force everywhere.
     pub in_force: Duration,
-    /// How long a key may work after it was taken away.
+    /// Maximum time that a key works after the acknowledgement of a document without it.
     pub key_revoke: Duration,
-    /// Whether requests with keys need a document that is proved current.
+    /// Whether requests with keys are refused if the document cannot be proved current.
     pub fail_closed: bool,
-    /// From SIGTERM until the process is killed.
+    /// Time from SIGTERM until the process is killed.
     pub shutdown_grace: Duration,
-    /// Repeated sends in a window, as a part of a service's requests.
+    /// Maximum ratio of repeated sends to requests of a service within a window, over all daemons.
     pub retry_ratio: f64,
-    /// Repeated sends in a window beside that.
+    /// Number of repeated sends to a service allowed in a window in addition to the ratio, over all
+    /// daemons.
     pub retry_slack: f64,
-    /// The window of both.
+    /// Window for `retry_ratio` and `retry_slack`.
     pub retry_window: Duration,
-    /// How long callers keep addresses at most.
+    /// Maximum time that callers may cache addresses.
     pub address_keep_max: Duration,
-    /// The longest reservation of an engine's memory.
+    /// Maximum duration of a reservation of an engine's memory.
     pub reservation_max: Duration,
 }
 
-/// All settings of a gateway, checked.
+/// Validated settings of a gateway.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GatewaySettings {
-    /// The instance's name.
+    /// Name of the instance, used in logs.
     pub name: InstanceId,
-    /// Its data centre.
+    /// Data centre of the instance.
     pub data_centre: DataCentreId,
-    /// Where it keeps files, if it does.
+    /// Folder for persistent files; `None` without a disk.
     pub data_folder: Option<PathBuf>,
-    /// Where it listens.
+    /// Listen addresses.
     pub listen: GatewayListen,
-    /// How it finds the others.
+    /// Discovery of the other daemons.
     pub seeds: SeedSettings,
-    /// What may be lost at one time.
+    /// Simultaneous failures that the system must tolerate.
     pub tolerance: ToleranceSettings,
-    /// From this many instances on, those without a disk have links to only a few with a disk.
+    /// Number of instances from which on instances without a disk link to only a few instances with
+    /// a disk.
     pub tiers_from: usize,
     /// Bounds that the platform sets.
     pub bounds: GatewayBounds,
-    /// The memory that the process may use, in megabytes.
+    /// Memory limit of the process, in megabytes.
     pub memory_mb: u64,
-    /// The descriptors that the process may use.
+    /// Maximum number of file descriptors of the process.
     pub descriptors: u64,
 }
 
 impl GatewaySettings {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// Returns every problem of the file at once.
+    /// Returns an error if the file cannot be read, or an error with every problem of the file.
     pub fn load(file: &Path) -> Result<Self, SettingsError> {
         let name = file.display().to_string();
         let unreadable = |source| SettingsError::Unreadable { file: name.clone(), source };
         Self::parse(&name, &std::fs::read_to_string(file).map_err(unreadable)?)
     }
 
-    /// Checks settings given as text.
+    /// Validates settings given as text.
     ///
     /// # Errors
     ///
-    /// Returns every problem of the text at once.
+    /// Returns an error with every problem of the text.
     pub fn parse(name: &str, text: &str) -> Result<Self, SettingsError> {
         reader::read(name, text, GATEWAY_SPECS, SettingsReader::gateway)
     }
 
-    /// Returns whether a changed settings file may be taken over without a restart: everything
-    /// but the addresses, the names and the data folder.
+    /// Returns whether `next` can be applied without a restart. A change of the addresses, the names
+    /// or the data folder requires a restart.
     pub fn can_reload_as(&self, next: &Self) -> bool {
         self.listen == next.listen
             && self.name == next.name
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,9 +1,9 @@
-//! Checked settings of the daemon, read from an INI file.
+//! Reads and validates the settings of the daemon and of the gateway from INI files.
 //!
-//! One table, [`SETTING_SPECS`], says for every key its type, unit, default, range and meaning.
-//! The checker, the operators' reference page and the error messages are all made from it, so
-//! that they cannot differ. All problems of a file are reported at once, each with the file, the
-//! section, the key, what was read and what to write instead.
+//! The tables [`SETTING_SPECS`] and [`GATEWAY_SPECS`] define the type, unit, default, range and
+//! meaning of every key. The validation, the operators' reference page and the error messages are
+//! generated from these tables, so that they cannot disagree. All problems of a file are reported
+//! at once, each with the file, the section, the key, the value that was read and the remedy.
 
 mod check;
 mod gateway;
--- a/crates/settings/src/problem.rs
+++ b/crates/settings/src/problem.rs
@@ -1,19 +1,19 @@
-//! What can be wrong with a settings file.
+//! Errors in settings files.
 
 use std::fmt;
 
 use thiserror::Error;
 
-/// One problem of a settings file.
+/// A problem with one key or section of a settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingProblem {
-    /// The section, without brackets.
+    /// Section name without brackets.
     pub section: String,
-    /// The key; empty where the section itself is the problem.
+    /// Key name; empty if the problem concerns the whole section.
     pub key: String,
-    /// What was read.
+    /// Value that was read, or a description of it.
     pub read: String,
-    /// What to write instead.
+    /// Correction to make.
     pub remedy: String,
 }
 
@@ -27,38 +27,38 @@
     }
 }
 
-/// The reason that a settings file was refused.
+/// Reason why a settings file was rejected.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file cannot be read.
     #[error("{file}: {source}; name a readable file with --config")]
     Unreadable {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// The operating system's error.
+        /// Error from the operating system.
         source: std::io::Error,
     },
-    /// The file is not in INI form.
+    /// The file is not valid INI.
     #[error("{file}: line {line}: {message}; write `[section]` and `key = value` lines")]
     NotIni {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// The line.
+        /// Number of the line that cannot be parsed.
         line: usize,
-        /// What the parser met.
+        /// Message from the parser.
         message: String,
     },
-    /// The content has problems.
-    #[error("{}", list(.file, .problems))]
+    /// The file has unknown, missing, duplicate, malformed or conflicting settings.
+    #[error("{}", format_problems(.file, .problems))]
     Problems {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// All of them.
+        /// All problems of the file.
         problems: Vec<SettingProblem>,
     },
 }
 
-fn list(file: &str, problems: &[SettingProblem]) -> String {
+fn format_problems(file: &str, problems: &[SettingProblem]) -> String {
     let lines: Vec<String> = problems.iter().map(|p| format!("{file}: {p}")).collect();
     lines.join("\n")
 }
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads the keys of a table of settings and notes every problem.
+//! Parses an INI file against a table of settings and collects every problem.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,14 +11,14 @@
 use crate::problem::{SettingProblem, SettingsError};
 use crate::spec::{SettingKind, SettingSpec};
 
-/// Reads a text against a table; `build` makes the settings from what was read.
+/// Parses `text` against the table `specs`; `build` constructs the settings from the parsed values.
 pub(crate) fn read<T>(
     name: &str,
     text: &str,
     specs: &'static [SettingSpec],
     build: impl FnOnce(&mut SettingsReader) -> Option<T>,
 ) -> Result<T, SettingsError> {
-    // The parser would take a byte order mark for a part of the first section's name.
+    // The parser would treat a byte order mark as part of the first section's name.
     let text = text.strip_prefix('\u{feff}').unwrap_or(text);
     let ini = Ini::load_from_str(text).map_err(|error| SettingsError::NotIni {
         file: name.to_owned(),
@@ -33,7 +33,7 @@
     }
 }
 
-/// Reads the keys of one table and notes every problem.
+/// Holds the values that were read for the keys of one table, and the problems found.
 pub(crate) struct SettingsReader {
     specs: &'static [SettingSpec],
     values: BTreeMap<(&'static str, &'static str), String>,
@@ -41,7 +41,7 @@
 }
 
 impl SettingsReader {
-    pub(crate) fn problem(
+    pub(crate) fn add_problem(
         &mut self,
         section: &str,
         key: &str,
@@ -56,36 +56,37 @@
         });
     }
 
-    /// Takes over the known keys and notes the unknown and doubled ones.
+    /// Collects the values of known keys, reports unknown and duplicate keys, and validates every
+    /// key.
     fn collect(&mut self, ini: &Ini) {
         for (section, properties) in ini {
             let section = section.unwrap_or_default();
             for (key, value) in properties {
-                self.collect_one(section, key, value);
+                self.collect_key(section, key, value);
             }
         }
         for spec in self.specs {
-            self.check_one(spec);
+            self.check_key(spec);
         }
     }
 
-    fn collect_one(&mut self, section: &str, key: &str, value: &str) {
+    fn collect_key(&mut self, section: &str, key: &str, value: &str) {
         let known = self.specs.iter().find(|s| s.section == section && s.key == key);
         let Some(spec) = known else {
             let remedy = match nearest(self.specs, section, key) {
                 Some(near) => format!("remove it, or write [{}] {}", near.section, near.key),
                 None => "remove it; the settings reference lists every key".to_owned(),
             };
-            self.problem(section, key, "an unknown key", remedy);
+            self.add_problem(section, key, "an unknown key", remedy);
             return;
         };
         if self.values.insert((spec.section, spec.key), value.trim().to_owned()).is_some() {
-            self.problem(section, key, "the key twice", "keep one of them".to_owned());
+            self.add_problem(section, key, "a duplicate key", "keep one occurrence".to_owned());
         }
     }
 
-    /// Fills in the default and checks the form.
-    fn check_one(&mut self, spec: &SettingSpec) {
+    /// Fills in the default of a missing key, or validates the value that was read.
+    fn check_key(&mut self, spec: &SettingSpec) {
         let at = (spec.section, spec.key);
         let Some(text) = self.values.get(&at).cloned() else {
             match spec.default {
@@ -94,7 +95,12 @@
                 }
                 None => {
                     let remedy = format!("write {}", spec.kind.expected());
-                    self.problem(spec.section, spec.key, "nothing, but it is required", remedy);
+                    self.add_problem(
+                        spec.section,
+                        spec.key,
+                        "no value, but the key is required",
+                        remedy,
+                    );
                 }
             }
             return;
@@ -104,7 +110,7 @@
         }
         if !accepts(&spec.kind, &text) {
             let remedy = format!("write {}", spec.kind.expected());
-            self.problem(spec.section, spec.key, format!("{text:?}"), remedy);
+            self.add_problem(spec.section, spec.key, format!("{text:?}"), remedy);
             self.values.remove(&at);
         }
     }
@@ -146,7 +152,7 @@
     }
 }
 
-/// Parses the list of voters; none where an item is malformed or an instance stands twice.
+/// Parses the list of voters. Returns `None` if an item is malformed or an instance is listed twice.
 pub(crate) fn parse_voters(text: &str) -> Option<Vec<VoterAddress>> {
     let parse_one = |item: &str| {
         let (instance, peers) = item.trim().split_once('@')?;
@@ -157,7 +163,8 @@
     (distinct.len() == voters.len()).then_some(voters)
 }
 
-/// Finds the key that was probably meant: the same one in another section, or a near spelling.
+/// Finds the key that was probably intended: the same key in another section, or a key of the same
+/// section within an edit distance of 2.
 fn nearest(
     specs: &'static [SettingSpec],
     section: &str,
@@ -185,7 +192,7 @@
     row[right.len()]
 }
 
-/// Parses a list of addresses; none where one is malformed.
+/// Parses a list of addresses. Returns `None` if an address is malformed.
 pub(crate) fn parse_addresses(text: &str) -> Option<Vec<SocketAddr>> {
     let items = text.split(',').map(str::trim).filter(|item| !item.is_empty());
     items.map(|item| item.parse().ok()).collect()
--- a/crates/settings/src/reference.rs
+++ b/crates/settings/src/reference.rs
@@ -1,15 +1,15 @@
-//! The operators' reference page, made from the table of settings.
+//! Generates the operators' reference page from the tables of settings.
 
 use std::fmt::Write;
 
 use crate::gateway::GATEWAY_SPECS;
 use crate::spec::{SETTING_SPECS, SettingSpec};
 
-/// Writes the reference page in Markdown.
+/// Returns the reference page in Markdown.
 ///
 /// # Panics
 ///
-/// Never: writing to a string cannot fail.
+/// Never panics, because writing to a string cannot fail.
 pub fn reference_page() -> String {
     let mut page = String::from(
         "# Settings reference\n\n\
@@ -35,7 +35,7 @@
                 page,
                 "\n## [{section}]\n\n| key | accepts | unit | default | meaning |\n|---|---|---|---|---|\n"
             )
-            .expect("a string takes all");
+            .expect("writing to a string cannot fail");
         }
         let default = match spec.default {
             None => "required",
@@ -50,6 +50,6 @@
             spec.unit,
             spec.help
         )
-        .expect("a string takes all");
+        .expect("writing to a string cannot fail");
     }
 }
--- a/crates/settings/src/spec.rs
+++ b/crates/settings/src/spec.rs
@@ -1,40 +1,40 @@
-//! The table of all settings.
+//! Defines the table of the daemon's settings and the types of their values.
 
-/// The type of a setting and what it accepts.
+/// Type of a setting and the values that it accepts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum SettingKind {
-    /// An identifier.
+    /// An identifier, such as an instance id.
     Identifier,
     /// An IP address with a port.
     Address,
     /// A whole number in a closed range.
     Integer {
-        /// The smallest.
+        /// Minimum, inclusive.
         min: u64,
-        /// The largest.
+        /// Maximum, inclusive.
         max: u64,
     },
     /// A number in a closed range.
     Decimal {
-        /// The smallest.
+        /// Minimum, inclusive.
         min: f64,
-        /// The largest.
+        /// Maximum, inclusive.
         max: f64,
     },
     /// A comma-separated list of `IP:PORT`.
     Addresses,
-    /// A path of a file or folder.
+    /// A path to a file or folder.
     Path,
     /// A comma-separated list of `INSTANCE@IP:PORT`.
     Voters,
-    /// A SHA-256 in hexadecimal.
+    /// A SHA-256 hash in lower-case hexadecimal.
     KeyHash,
-    /// One of a few words.
+    /// One of a fixed set of words.
     Word(&'static [&'static str]),
 }
 
 impl SettingKind {
-    /// Says what the setting accepts.
+    /// Describes the accepted values.
     pub fn expected(&self) -> String {
         match self {
             Self::Identifier => "1 to 128 of the characters A-Z a-z 0-9 . _ : -".to_owned(),
@@ -56,20 +56,20 @@
     }
 }
 
-/// One setting.
+/// Definition of a setting.
 #[derive(Debug, Clone, Copy)]
 pub struct SettingSpec {
-    /// Its section.
+    /// Section name.
     pub section: &'static str,
-    /// Its key.
+    /// Key name.
     pub key: &'static str,
-    /// Its type.
+    /// Type of the value.
     pub kind: SettingKind,
-    /// Its unit; empty where it has none.
+    /// Unit of the value; empty if it has none.
     pub unit: &'static str,
-    /// Its default; none where it has to be given, empty where it may be left out.
+    /// Default value; `None` if the setting is required, empty if it may be omitted.
     pub default: Option<&'static str>,
-    /// What it does.
+    /// Description for the reference page.
     pub help: &'static str,
 }
 
@@ -90,7 +90,7 @@
 
 use SettingKind::{Address, Identifier, Integer, KeyHash, Path, Voters, Word};
 
-/// Every setting, in the order of the reference page.
+/// All settings of the daemon, in the order of the reference page.
 #[rustfmt::skip]
 pub const SETTING_SPECS: &[SettingSpec] = &[
     spec("instance", "id", Identifier, "", None,
