--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line's grammar.
+//! Parses the command line.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,18 +9,18 @@
 use oriolepass_schema::operator::ObjectKind;
 use oriolepass_units::{DataCentreId, InstanceId, ObjectRevision};
 
-/// What every command needs.
+/// Options common to all commands.
 #[derive(Debug, Clone)]
 pub(crate) struct CommonOptions {
-    /// Daemons to try, in order.
+    /// Daemon addresses, tried in order.
     pub(crate) daemons: Vec<SocketAddr>,
-    /// The file with the key.
+    /// File with the operator's key.
     pub(crate) key_file: Option<PathBuf>,
-    /// Whether to print JSON.
+    /// Whether to print JSON instead of text.
     pub(crate) json: bool,
 }
 
-/// A command.
+/// A command with its arguments.
 #[derive(Debug, Clone)]
 pub(crate) enum Command {
     Apply { file: PathBuf, dry_run: bool, wait: bool },
@@ -31,7 +31,7 @@
     Audit { after: u64 },
     Status,
     Top,
-    Wait { revision: Option<ObjectRevision>, patience: Duration },
+    Wait { revision: Option<ObjectRevision>, timeout: Duration },
     Drain { instance: InstanceId },
     Voters { wanted: Vec<InstanceId> },
     HashKey,
@@ -49,14 +49,15 @@
     Restore(DataCentreId),
 }
 
-/// The whole command line.
+/// Parsed command line.
 #[derive(Debug, Clone)]
 pub(crate) struct Arguments {
     pub(crate) common: CommonOptions,
     pub(crate) command: Command,
 }
 
-/// Parses the command line; prints help and ends the process where it has to.
+/// Parses the command line. Exits the process after a request for help or the version and after a
+/// usage error.
 pub(crate) fn parse() -> Arguments {
     options().run()
 }
@@ -67,29 +68,29 @@
     construct!(Arguments { common, command })
         .to_options()
         .version(env!("CARGO_PKG_VERSION"))
-        .descr("Drives oriolepass by its remote calls")
+        .descr("Operates oriolepass through the HTTP API of its daemons")
         .footer(
             "Examples:\n  oriolepass --daemon 10.0.0.1:7001 --key-file key status\n  \
              oriolepass apply accounts.json --dry-run\n  oriolepass apply accounts.json --wait\n\n\
              The key comes from --key-file or from OPKEY in the environment, never from the \
              arguments, which others on the machine can read. --daemon may be given several \
-             times, or as OPDAEMON in the environment.\n\nExit codes: 0 done, 1 refused, 2 wrong \
-             usage, 3 no answer or outcome unknown, 4 not yet.\n\nShell completion: oriolepass \
-             --bpaf-complete-style-bash (or -zsh, -fish).",
+             times, or as OPDAEMON in the environment.\n\nExit codes: 0 success, 1 refused, 2 \
+             usage error, 3 no answer or outcome unknown, 4 revision not yet in force.\n\nShell \
+             completion: oriolepass --bpaf-complete-style-bash (or -zsh, -fish).",
         )
 }
 
 fn common() -> impl Parser<CommonOptions> {
     let daemons = long("daemon")
         .env("OPDAEMON")
-        .help("A daemon's address for operators; may be given several times")
+        .help("Address of a daemon for operators; may be given several times")
         .argument::<SocketAddr>("IP:PORT")
         .many();
     let key_file = long("key-file")
-        .help("A file with the operator's key")
+        .help("File with the operator's key")
         .argument::<PathBuf>("FILE")
         .optional();
-    let json = long("json").help("Print JSON for programs").switch();
+    let json = long("json").help("Print JSON instead of text").switch();
     construct!(CommonOptions { daemons, key_file, json })
 }
 
@@ -98,44 +99,48 @@
 }
 
 fn log_files() -> impl Parser<Vec<PathBuf>> {
-    positional::<PathBuf>("LOG").help("Logs of any gateways").some("name a log")
+    positional::<PathBuf>("LOG")
+        .help("Log files of one or more gateways")
+        .some("name at least one log file")
 }
 
 fn name() -> impl Parser<String> {
-    positional::<String>("NAME").help("The object's name")
+    positional::<String>("NAME").help("Name of the object")
 }
 
 fn command() -> impl Parser<Command> {
     let explain = {
-        let request = positional::<String>("REQUEST-ID").help("The request's id");
+        let request = positional::<String>("REQUEST-ID").help("Id of the request");
         let logs = log_files();
         construct!(Command::Explain { request, logs })
             .to_options()
-            .descr("Tell a request's story from the logs of gateways")
+            .descr("Show the events of a request from the logs of gateways")
             .command("explain")
     };
     let timeline = {
         let logs = log_files();
         construct!(Command::Timeline { logs })
             .to_options()
-            .descr("Tell what gateways believed and when, from their logs")
+            .descr("Show the state changes of gateways over time, from their logs")
             .command("timeline")
     };
     let losses = {
         let logs = log_files();
         construct!(Command::Losses { logs })
             .to_options()
-            .descr("Tell which requests were late, refused or cut, and why, from logs of gateways")
+            .descr(
+                "Show which requests were late, refused or cut, and why, from the logs of gateways",
+            )
             .command("losses")
     };
     let quarantine = {
         let release = long("release")
-            .help("Let this request be sent again; its digest stands in the list and in log lines")
+            .help("Allow this request to be sent again; the list and the log lines show its digest")
             .argument::<RequestDigest>("DIGEST")
             .optional();
         construct!(Command::Quarantine { release })
             .to_options()
-            .descr("List requests that end their endpoints; --daemon names a gateway's metrics address")
+            .descr("List requests suspected of ending their endpoints; --daemon names a gateway's metrics address")
             .command("quarantine")
     };
     let data_centres = {
@@ -154,12 +159,12 @@
             .command("data-centres")
     };
     let apply = {
-        let dry_run = long("dry-run").help("Show the differences and change nothing").switch();
+        let dry_run = long("dry-run").help("Show the differences without applying them").switch();
         let wait = long("wait").help("Wait until the changes are in force everywhere").switch();
-        let file = positional::<PathBuf>("FILE").help("Objects as JSON");
+        let file = positional::<PathBuf>("FILE").help("File with objects as JSON");
         construct!(Command::Apply { dry_run, wait, file })
             .to_options()
-            .descr("Bring objects to what a file says")
+            .descr("Create or update the objects that a file defines")
             .command("apply")
     };
     let get = construct!(Command::Get { kind(), name() })
@@ -183,7 +188,7 @@
         .command("history");
     let audit = {
         let after = long("after")
-            .help("Only records after this one")
+            .help("List only records after this sequence number")
             .argument::<u64>("SEQUENCE")
             .fallback(0);
         construct!(Command::Audit { after })
@@ -193,20 +198,20 @@
     };
     let status = bpaf::pure(Command::Status)
         .to_options()
-        .descr("Show the leader, revisions, endpoints and memory at a glance")
+        .descr("Show the leader, revisions, endpoints and memory")
         .command("status");
     let top = bpaf::pure(Command::Top)
         .to_options()
-        .descr("Show the status again every second")
+        .descr("Show the status, refreshed every second")
         .command("top");
     let wait = {
-        let patience = long("patience")
-            .help("How long to wait at most, in seconds")
+        let timeout = long("patience")
+            .help("Maximum time to wait, in seconds")
             .argument::<u64>("SECONDS")
             .fallback(10)
             .map(Duration::from_secs);
         let revision = positional::<ObjectRevision>("REVISION").optional();
-        construct!(Command::Wait { patience, revision })
+        construct!(Command::Wait { timeout, revision })
             .to_options()
             .descr("Wait until a revision is in force everywhere")
             .command("wait")
@@ -215,14 +220,14 @@
         let instance = positional::<InstanceId>("INSTANCE");
         construct!(Command::Drain { instance })
             .to_options()
-            .descr("Let a daemon leave gracefully")
+            .descr("Drain a daemon so that it leaves gracefully")
             .command("drain")
     };
     let voters = {
         let wanted = positional::<InstanceId>("INSTANCE").some("name 1, 3 or 5 instances");
         construct!(Command::Voters { wanted })
             .to_options()
-            .descr("Say which instances should hold the log")
+            .descr("Set the instances that hold the replicated log")
             .command("voters")
     };
     let hash_key = bpaf::pure(Command::HashKey)
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! The remote calls, tried on each daemon in turn.
+//! HTTP client for the operator API, with retries across the daemons.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -15,28 +15,28 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// How long one daemon may take to answer.
+/// Timeout of a call to one daemon.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long a call is tried.
-const TOTAL_TIME: Duration = Duration::from_secs(30);
+/// Time after which a call is no longer retried.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The pause between two rounds over the daemons.
-const ROUND_PAUSE: Duration = Duration::from_millis(200);
+/// Delay before the daemons are tried again.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Why a call brought no answer.
+/// Reason why a call failed.
 #[derive(Debug)]
 pub(crate) enum ClientError {
-    /// The system refused it.
+    /// The system refused the call.
     Refused(ApiError),
     /// No daemon gave a definite answer.
     Unreachable {
-        /// The last thing that went wrong.
+        /// Last error that occurred.
         last: String,
     },
-    /// What was waited for did not come in time.
-    NotYet {
-        /// The daemons that lag.
+    /// The revision was not in force everywhere before the timeout.
+    NotInForce {
+        /// Daemons that have not applied the revision yet.
         lagging: Vec<InstanceId>,
     },
 }
@@ -47,10 +47,10 @@
             Self::Refused(error) => write!(f, "{} ({})", error.message, error.code),
             Self::Unreachable { last } => write!(
                 f,
-                "no daemon gave a definite answer ({last}); check --daemon, or try again: a \
+                "no daemon gave a definite answer (last error: {last}); check --daemon, or retry: a \
                  change is not applied twice"
             ),
-            Self::NotYet { lagging } => {
+            Self::NotInForce { lagging } => {
                 let names: Vec<String> = lagging.iter().map(ToString::to_string).collect();
                 write!(f, "not in force yet on {}; see `oriolepass status`", names.join(", "))
             }
@@ -60,7 +60,7 @@
 
 impl std::error::Error for ClientError {}
 
-/// Makes calls with an operator's key.
+/// Sends calls that are authorised with an operator's key.
 pub(crate) struct OperatorClient {
     http: Client<HttpConnector, Full<Bytes>>,
     daemons: Vec<SocketAddr>,
@@ -82,11 +82,11 @@
         path: &str,
         body: &Q,
     ) -> Result<T, ClientError> {
-        let body = serde_json::to_vec(body).expect("a call always serialises");
+        let body = serde_json::to_vec(body).expect("serialising a call cannot fail");
         self.call("POST", path, body.into()).await
     }
 
-    /// Fetches a page that is no JSON.
+    /// Fetches a page that is not JSON.
     pub(crate) async fn text(&self, path: &str) -> Result<String, ClientError> {
         let (_, body) = self
             .send_round("GET", path, &Bytes::new())
@@ -95,24 +95,25 @@
         Ok(String::from_utf8_lossy(&body).into_owned())
     }
 
-    /// Tries every daemon in turn until one gives a definite answer.
+    /// Tries the daemons in order, repeatedly, until one gives a definite answer or
+    /// `RETRY_TIMEOUT` has elapsed.
     pub(crate) async fn call<T: DeserializeOwned>(
         &self,
         method: &str,
         path: &str,
         body: Bytes,
     ) -> Result<T, ClientError> {
-        let until = Instant::now() + TOTAL_TIME;
+        let deadline = Instant::now() + RETRY_TIMEOUT;
         loop {
             let last = match self.send_round(method, path, &body).await {
                 Ok((200, body)) => match serde_json::from_slice(&body) {
                     Ok(answer) => return Ok(answer),
-                    Err(error) => format!("an answer that cannot be read: {error}"),
+                    Err(error) => format!("the answer cannot be decoded: {error}"),
                 },
                 Ok((status, body)) => match serde_json::from_slice::<ErrorBody>(&body) {
-                    // Waiting helps only where the error says so; where the outcome is not
-                    // known, asking again with the same change id finds out.
-                    Ok(body) if !is_passing(&body.error) => {
+                    // A call is retried only if the error allows it. If the outcome is unknown,
+                    // a retry with the same change id determines it.
+                    Ok(body) if !is_retryable(&body.error) => {
                         return Err(ClientError::Refused(body.error));
                     }
                     Ok(body) => body.error.message,
@@ -120,10 +121,10 @@
                 },
                 Err(last) => last,
             };
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return Err(ClientError::Unreachable { last });
             }
-            tokio::time::sleep(ROUND_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
@@ -133,7 +134,7 @@
         path: &str,
         body: &Bytes,
     ) -> Result<(u16, Bytes), String> {
-        let mut last = "no daemon named; use --daemon".to_owned();
+        let mut last = "no daemon address given; use --daemon".to_owned();
         for daemon in &self.daemons {
             match self.send(*daemon, method, path, body.clone()).await {
                 Ok(answer) => return Ok(answer),
@@ -165,10 +166,10 @@
         };
         tokio::time::timeout(CALL_TIMEOUT, answer)
             .await
-            .unwrap_or_else(|_| Err("no answer in time".to_owned()))
+            .unwrap_or_else(|_| Err("timed out waiting for an answer".to_owned()))
     }
 }
 
-fn is_passing(error: &ApiError) -> bool {
+fn is_retryable(error: &ApiError) -> bool {
     error.retry_after_ms.is_some() || error.ran == RanState::Unknown
 }
--- a/crates/cli/src/commands/apply.rs
+++ b/crates/cli/src/commands/apply.rs
@@ -1,4 +1,4 @@
-//! Changes.
+//! Creates, updates and removes objects.
 
 use std::path::Path;
 
@@ -15,10 +15,10 @@
 use crate::client::{ClientError, OperatorClient};
 use crate::output;
 
-/// How long `apply --wait` waits.
-const WAIT_PATIENCE: Duration = Duration::from_secs(30);
+/// Maximum time that `apply --wait` waits until the changes are in force everywhere.
+const APPLY_WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One object of a file.
+/// An object of the file that `apply` reads.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct FileObject {
@@ -28,7 +28,8 @@
     reason: String,
 }
 
-/// Brings objects to what a file says, in the file's order.
+/// Creates or updates the objects that a file defines, in the order of the file. Objects that
+/// already match are skipped.
 pub(super) async fn apply(
     client: &OperatorClient,
     file: &Path,
@@ -66,7 +67,7 @@
         println!("{} changed", answers.len());
     }
     match answers.last().filter(|_| wait) {
-        Some(last) => queries::wait(client, Some(last.config_revision), WAIT_PATIENCE).await,
+        Some(last) => queries::wait(client, Some(last.config_revision), APPLY_WAIT_TIMEOUT).await,
         None => Ok(()),
     }
 }
@@ -89,7 +90,7 @@
     expected_revision: ObjectRevision,
 ) -> Result<ChangeAnswer> {
     let call = ChangeCall {
-        change_id: fresh_change_id()?,
+        change_id: generate_change_id()?,
         name: object.name,
         expected_revision,
         action: ChangeAction::Put(object.spec),
@@ -98,8 +99,8 @@
     Ok(client.post("/v1/changes", &call).await?)
 }
 
-/// Draws a change id. The client sends it again and again until the answer is known.
-fn fresh_change_id() -> Result<oriolepass_units::ChangeId> {
+/// Generates a random change id. The client retries with the same id until the result is known.
+fn generate_change_id() -> Result<oriolepass_units::ChangeId> {
     Ok(format!("cli-{:032x}", rand::random::<u128>()).parse()?)
 }
 
@@ -119,7 +120,7 @@
     Ok(())
 }
 
-/// Removes an object.
+/// Removes an object at its present revision.
 pub(super) async fn delete(
     client: &OperatorClient,
     kind: ObjectKind,
@@ -127,10 +128,10 @@
     json: bool,
 ) -> Result<()> {
     let Some(view) = present(client, kind, name).await? else {
-        bail!("there is no {kind} {name}; `oriolepass list {kind}` shows those there are");
+        bail!("there is no {kind} {name}; `oriolepass list {kind}` lists the existing ones");
     };
     let call = ChangeCall {
-        change_id: fresh_change_id()?,
+        change_id: generate_change_id()?,
         name: name.to_owned(),
         expected_revision: view.revision,
         action: ChangeAction::Delete(kind),
--- a/crates/cli/src/commands/data_centres.rs
+++ b/crates/cli/src/commands/data_centres.rs
@@ -7,13 +7,13 @@
 use crate::arguments::DrainAction;
 use crate::client::OperatorClient;
 
-/// A gateway's answer to calls about drained data centres.
+/// Answer of a gateway to calls about drained data centres.
 #[derive(Debug, Deserialize, Serialize)]
 struct DrainedList {
     drained: Vec<String>,
 }
 
-/// Carries out the action, if one is given, and prints the drained data centres.
+/// Drains or restores a data centre if `action` is given, and prints the drained data centres.
 pub(super) async fn data_centres(
     client: &OperatorClient,
     action: Option<&DrainAction>,
--- a/crates/cli/src/commands/explain.rs
+++ b/crates/cli/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! What the logs of gateways say: one request's story, or what the gateways believed.
+//! Shows the events of one request, or the state changes of gateways, from the logs of gateways.
 
 use std::collections::BTreeSet;
 use std::path::PathBuf;
@@ -8,12 +8,12 @@
 
 use super::log_lines::{LogLine, read_logs};
 
-/// Lines about endpoints that a request used are shown from this long before its first line, in
-/// seconds: a fault that it met was often met by others just before.
-const BEFORE_SECONDS: f64 = 3.0;
+/// Time before the first event of a request from which on events of its endpoints are shown, in
+/// seconds. Other requests often meet the same fault shortly before.
+const ENDPOINT_EVENTS_LEAD_S: f64 = 3.0;
 
-/// Kinds of lines that change what a gateway believes.
-const BELIEFS: [&str; 16] = [
+/// Events that change the state of a gateway or its view of the system.
+const STATE_EVENTS: [&str; 16] = [
     "start",
     "draining",
     "stop",
@@ -44,35 +44,35 @@
     texts.join("  ")
 }
 
-/// Prints a request's story, in order of time, with what became known of its endpoints meanwhile.
+/// Prints the events of a request in order of time, with the events of the endpoints that it used.
 pub(super) fn explain(request: &str, logs: &[PathBuf], json: bool) -> Result<()> {
     let lines = read_logs(logs)?;
-    // A digest names a request across its attempts.
+    // A digest identifies a request across its attempts.
     let is_own =
         |line: &&LogLine| line.text("request") == request || line.text("digest") == request;
     let own: Vec<&LogLine> = lines.iter().filter(is_own).collect();
     let (Some(first), Some(last)) = (own.first(), own.last()) else {
-        bail!("no line names the request {request}; give the logs of all gateways of that time");
+        bail!("no event names the request {request}; pass the logs of all gateways of that time");
     };
     let endpoints: BTreeSet<&str> =
         own.iter().map(|line| line.text("endpoint")).filter(|text| !text.is_empty()).collect();
-    let (from, until) = (first.time - BEFORE_SECONDS, last.time);
-    let is_told = |line: &&LogLine| {
+    let (from, until) = (first.time - ENDPOINT_EVENTS_LEAD_S, last.time);
+    let is_shown = |line: &&LogLine| {
         is_own(line)
             || ((from..=until).contains(&line.time)
                 && endpoints.contains(line.text("endpoint"))
                 && ["endpoint", "endpoint-fault", "endpoint-end"].contains(&line.text("event")))
     };
-    print(lines.iter().filter(is_told), first.time, json);
+    print(lines.iter().filter(is_shown), first.time, json);
     Ok(())
 }
 
-/// Prints what the gateways believed and when that changed.
+/// Prints the state changes of the gateways in order of time.
 pub(super) fn timeline(logs: &[PathBuf], json: bool) -> Result<()> {
     let lines = read_logs(logs)?;
-    let Some(first) = lines.first() else { bail!("the logs hold no events") };
+    let Some(first) = lines.first() else { bail!("the logs contain no events") };
     let start = first.time;
-    print(lines.iter().filter(|line| BELIEFS.contains(&line.text("event"))), start, json);
+    print(lines.iter().filter(|line| STATE_EVENTS.contains(&line.text("event"))), start, json);
     Ok(())
 }
 
--- a/crates/cli/src/commands/log_lines.rs
+++ b/crates/cli/src/commands/log_lines.rs
@@ -1,22 +1,22 @@
-//! Lines of gateways' logs.
+//! Reads and parses the logs of gateways.
 
 use std::path::{Path, PathBuf};
 
 use eyre::{Result, WrapErr};
 use serde_json::{Map, Value};
 
-/// A line of a gateway's log.
+/// An event in the log of a gateway.
 pub(super) struct LogLine {
     pub(super) time: f64,
     pub(super) fields: Map<String, Value>,
 }
 
 impl LogLine {
-    /// Reads a line; none where it holds no event. Whatever stands before the event, such as the
-    /// name that a collector puts there, is skipped.
-    fn read(text: &str) -> Option<Self> {
-        let at = text.find('{')?;
-        let Value::Object(fields) = serde_json::from_str(&text[at..]).ok()? else { return None };
+    /// Parses a line. Returns `None` if it contains no event. Text before the event, such as a
+    /// prefix that a log collector adds, is skipped.
+    fn parse(text: &str) -> Option<Self> {
+        let start = text.find('{')?;
+        let Value::Object(fields) = serde_json::from_str(&text[start..]).ok()? else { return None };
         let time = fields.get("time")?.as_f64()?;
         Some(Self { time, fields })
     }
@@ -25,18 +25,18 @@
         self.fields.get(key).and_then(Value::as_str).unwrap_or_default()
     }
 
-    /// Returns a number, which some events write as text.
+    /// Returns the value of a numeric field, which some events write as text.
     pub(super) fn number(&self, key: &str) -> Option<f64> {
         let value = self.fields.get(key)?;
         value.as_f64().or_else(|| value.as_str()?.parse().ok())
     }
 }
 
-/// Reads logs, in order of time.
+/// Reads the events of all logs, sorted by time.
 ///
 /// # Errors
 ///
-/// Returns an error when a log cannot be read.
+/// Returns an error if a log cannot be read.
 pub(super) fn read_logs(logs: &[PathBuf]) -> Result<Vec<LogLine>> {
     let mut lines = Vec::new();
     for log in logs {
@@ -49,5 +49,5 @@
 fn read_log(log: &Path) -> Result<Vec<LogLine>> {
     let text = std::fs::read_to_string(log)
         .wrap_err_with(|| format!("the log {} cannot be read", log.display()))?;
-    Ok(text.lines().filter_map(LogLine::read).collect())
+    Ok(text.lines().filter_map(LogLine::parse).collect())
 }
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! What the commands do: queries in one place, changes in another.
+//! Runs the commands. Queries and changes are in separate modules.
 
 mod apply;
 mod data_centres;
@@ -15,10 +15,10 @@
 use crate::arguments::{Arguments, Command, CommonOptions};
 use crate::client::OperatorClient;
 
-/// The environment variable that holds the key.
+/// Environment variable that holds the operator's key.
 const KEY_VARIABLE: &str = "OPKEY";
 
-/// Carries a command out.
+/// Runs a command.
 pub(crate) async fn run(arguments: Arguments) -> Result<()> {
     let Arguments { common, command } = arguments;
     match &command {
@@ -41,7 +41,7 @@
         return Ok(());
     }
     if common.daemons.is_empty() {
-        bail!("no daemon named; use --daemon IP:PORT or OPDAEMON");
+        bail!("no daemon address given; use --daemon IP:PORT or OPDAEMON");
     }
     let client = OperatorClient::new(common.daemons, key);
     let json = common.json;
@@ -54,7 +54,7 @@
         Command::List { kind } => queries::list(&client, kind, json).await,
         Command::History { kind, name } => queries::history(&client, kind, &name, json).await,
         Command::Audit { after } => queries::audit(&client, after, json).await,
-        Command::Wait { revision, patience } => queries::wait(&client, revision, patience).await,
+        Command::Wait { revision, timeout } => queries::wait(&client, revision, timeout).await,
         Command::Status => status::status(&client, json).await,
         Command::Top => status::top(&client).await,
         Command::Drain { instance } => {
@@ -64,7 +64,7 @@
         }
         Command::Voters { wanted } => {
             let call: VotersCall = client.post("/v1/voters", &VotersCall { wanted }).await?;
-            println!("{} voters are wanted; see `oriolepass status`", call.wanted.len());
+            println!("change to {} voters requested; see `oriolepass status`", call.wanted.len());
             Ok(())
         }
         Command::HashKey
@@ -80,8 +80,9 @@
     let key = match &common.key_file {
         Some(file) => std::fs::read_to_string(file)
             .wrap_err_with(|| format!("the key file {} cannot be read", file.display()))?,
-        None => std::env::var(KEY_VARIABLE)
-            .wrap_err_with(|| format!("no key; use --key-file FILE or set {KEY_VARIABLE}"))?,
+        None => std::env::var(KEY_VARIABLE).wrap_err_with(|| {
+            format!("no operator key given; use --key-file FILE or set {KEY_VARIABLE}")
+        })?,
     };
     Ok(key.trim().to_owned())
 }
--- a/crates/cli/src/commands/quarantine.rs
+++ b/crates/cli/src/commands/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that end their endpoints, as a gateway knows them.
+//! Lists and releases the requests that a gateway suspects of ending their endpoints.
 
 use bytes::Bytes;
 use eyre::{Result, bail};
@@ -7,13 +7,13 @@
 
 use crate::client::OperatorClient;
 
-/// What a gateway knows.
+/// Answer of a gateway with the recorded requests.
 #[derive(Debug, Deserialize, Serialize)]
 struct QuarantineList {
     requests: Vec<ListedRequest>,
 }
 
-/// A request that something speaks against.
+/// A request with at least one recorded end of an endpoint.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(rename_all = "camelCase")]
 struct ListedRequest {
@@ -24,13 +24,13 @@
     last_end_age_s: u64,
 }
 
-/// What came of a release.
+/// Answer of a gateway to a release.
 #[derive(Debug, Deserialize)]
 struct ReleaseAnswer {
     released: bool,
 }
 
-/// Lists the requests, or releases one of them.
+/// Prints the recorded requests, or releases the request with the given digest.
 pub(super) async fn quarantine(
     client: &OperatorClient,
     release: Option<RequestDigest>,
@@ -40,9 +40,12 @@
         let body = Bytes::from(digest.to_string());
         let answer: ReleaseAnswer = client.call("POST", "/quarantine/release", body).await?;
         if !answer.released {
-            bail!("nothing speaks against {digest}; list the requests for their digests");
+            bail!(
+                "no ends of endpoints are recorded for request {digest}; `oriolepass quarantine` \
+                 lists the recorded digests"
+            );
         }
-        println!("{digest} is released everywhere in reach");
+        println!("request {digest} is released on all reachable gateways");
         return Ok(());
     }
     let list: QuarantineList = client.get("/quarantine").await?;
--- a/crates/cli/src/commands/queries.rs
+++ b/crates/cli/src/commands/queries.rs
@@ -1,4 +1,4 @@
-//! Queries.
+//! Queries objects, the audit trail and the revision in force.
 
 use std::time::{Duration, Instant};
 
@@ -11,8 +11,8 @@
 use crate::client::{ClientError, OperatorClient};
 use crate::output;
 
-/// Between two looks while waiting.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// Interval between polls while waiting for a revision to be in force.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 pub(super) async fn get(client: &OperatorClient, kind: ObjectKind, name: &str) -> Result<()> {
     let view: ObjectView = client.get(&format!("/v1/objects/{kind}/{name}")).await?;
@@ -45,7 +45,7 @@
     Ok(())
 }
 
-/// Fetches the whole audit trail after a record.
+/// Fetches all records of the audit trail after sequence number `after`, page by page.
 async fn fetch_trail(client: &OperatorClient, after: u64) -> Result<AuditTrailView> {
     let mut trail: AuditTrailView = client.get(&format!("/v1/audit?after={after}")).await?;
     while let Some(last) = trail.records.last().map(|record| record.sequence) {
@@ -84,12 +84,12 @@
     }
     match trail.verify() {
         Ok(()) => {
-            eprintln!("{} records, the chain is whole", trail.records.len());
+            eprintln!("{} records, the hash chain is intact", trail.records.len());
             Ok(())
         }
         Err(sequence) => bail!(
-            "record {sequence} does not follow from the one before it: the trail was cut or \
-             edited; compare it with an exported copy"
+            "record {sequence} does not follow its predecessor in the hash chain: the audit trail \
+             was truncated or edited; compare it with an exported copy"
         ),
     }
 }
@@ -112,17 +112,21 @@
     Ok(())
 }
 
-/// Waits until a revision, or the present one, is in force everywhere.
+/// Waits until `revision`, or the present revision if it is `None`, is in force everywhere.
+///
+/// # Errors
+///
+/// Returns [`ClientError::NotInForce`] with the lagging daemons when `timeout` has elapsed.
 pub(super) async fn wait(
     client: &OperatorClient,
     revision: Option<ObjectRevision>,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<()> {
     let revision = match revision {
         Some(revision) => revision,
         None => client.get::<StatusAnswer>("/v1/status").await?.config_revision,
     };
-    let until = Instant::now() + patience;
+    let deadline = Instant::now() + timeout;
     loop {
         let path = format!("/v1/in-force?revision={revision}");
         let answer: InForceAnswer = client.get(&path).await?;
@@ -130,9 +134,9 @@
             println!("revision {revision} is in force everywhere");
             return Ok(());
         }
-        if Instant::now() >= until {
-            return Err(ClientError::NotYet { lagging: answer.lagging }.into());
+        if Instant::now() >= deadline {
+            return Err(ClientError::NotInForce { lagging: answer.lagging }.into());
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/cli/src/commands/status.rs
+++ b/crates/cli/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! The state of the system at a glance.
+//! Prints the status of the system.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 use crate::client::OperatorClient;
 use crate::output;
 
-/// Between two pages of `top`.
-const REFRESH_EVERY: Duration = Duration::from_secs(1);
+/// Interval between refreshes of `top`.
+const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Clears the screen and goes to its top.
+/// Escape sequence that clears the screen and moves the cursor to the top left corner.
 const CLEAR_SCREEN: &str = "\u{1b}[2J\u{1b}[H";
 
 pub(super) async fn status(client: &OperatorClient, json: bool) -> Result<()> {
@@ -32,7 +32,7 @@
         let metrics = client.text("/metrics").await?;
         print!("{CLEAR_SCREEN}");
         print_page(&status, &metrics);
-        tokio::time::sleep(REFRESH_EVERY).await;
+        tokio::time::sleep(REFRESH_INTERVAL).await;
     }
 }
 
@@ -76,7 +76,7 @@
     output::table(&["LENGTH", "REQUESTS", "MEAN", "WITHIN 0.34 S"], &rows);
 }
 
-/// Reads the histogram by length class out of the metrics page.
+/// Extracts the histogram of the time to the first token, by length class, from the metrics page.
 fn first_token_rows(metrics: &str) -> Vec<Vec<String>> {
     let mut values: BTreeMap<(&str, &str), f64> = BTreeMap::new();
     for line in metrics.lines() {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,8 +1,8 @@
-//! `oriolepass`: the operators' command line.
+//! `oriolepass`, the operators' command line.
 //!
-//! Everything goes through the daemons' remote calls, which `openapi.json` describes. Any daemon
-//! takes any call. A change is sent again with the same change id until its answer is known, so
-//! a lost answer or a lost leader never makes it happen twice.
+//! The commands use the HTTP API of the daemons, which `openapi.json` describes. Every daemon
+//! accepts every call. A change is retried with the same change id until its result is known, so a
+//! lost answer or a lost leader never applies the change twice.
 
 mod arguments;
 mod client;
@@ -13,16 +13,16 @@
 
 use crate::client::ClientError;
 
-/// The exit codes, which scripts may rely on.
+/// Exit codes. Scripts may rely on them.
 mod exit {
-    /// The daemon refused the call; the message says why.
+    /// The daemon refused the call; the message gives the reason.
     pub(crate) const REFUSED: u8 = 1;
-    /// The command line or a file is wrong.
+    /// The command line or an input file is invalid.
     pub(crate) const USAGE: u8 = 2;
-    /// No daemon answered, or the outcome is not known.
+    /// No daemon answered, or the outcome is unknown.
     pub(crate) const UNREACHABLE: u8 = 3;
-    /// What was waited for did not come in time.
-    pub(crate) const NOT_YET: u8 = 4;
+    /// The revision was not in force everywhere before the timeout.
+    pub(crate) const NOT_IN_FORCE: u8 = 4;
 }
 
 fn main() -> ExitCode {
@@ -30,7 +30,7 @@
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("oriolepass: the runtime cannot be made: {error}");
+            eprintln!("oriolepass: cannot create the async runtime: {error}");
             return ExitCode::from(exit::UNREACHABLE);
         }
     };
@@ -47,7 +47,7 @@
     match error.downcast_ref::<ClientError>() {
         Some(ClientError::Refused(_)) => exit::REFUSED,
         Some(ClientError::Unreachable { .. }) => exit::UNREACHABLE,
-        Some(ClientError::NotYet { .. }) => exit::NOT_YET,
+        Some(ClientError::NotInForce { .. }) => exit::NOT_IN_FORCE,
         None => exit::USAGE,
     }
 }
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,6 +1,6 @@
-//! Tables for people.
+//! Prints tables and JSON to standard output.
 
-/// Prints rows under a heading, each column as wide as its widest cell.
+/// Prints rows under a heading. Each column is as wide as its widest cell.
 pub(crate) fn table(heading: &[&str], rows: &[Vec<String>]) {
     let width = |column: usize| {
         let cells = rows.iter().filter_map(|row| row.get(column)).map(String::len);
@@ -16,5 +16,8 @@
 
 /// Prints a value as JSON.
 pub(crate) fn json<T: serde::Serialize>(value: &T) {
-    println!("{}", serde_json::to_string_pretty(value).expect("a value always serialises"));
+    println!(
+        "{}",
+        serde_json::to_string_pretty(value).expect("serialising an output value cannot fail")
+    );
 }
