--- a/crates/cli/src/commands/losses.rs
+++ b/crates/cli/src/commands/losses.rs
@@ -136,7 +136,7 @@
         RequestOutcome::Refused | RequestOutcome::Cut => end.text("reason").to_owned(),
         RequestOutcome::LateFirst => late_cause(request, end).to_owned(),
         RequestOutcome::LatePause if request.was_resumed => {
-            "the stream was resumed on another endpoint".to_owned()
+            "it moved to another endpoint".to_owned()
         }
         RequestOutcome::LatePause => pause_cause(request, end, prefill_sends).to_owned(),
     }
@@ -165,9 +165,9 @@
         };
     }
     if waited_ms > objective * PLACEMENT_WAIT_SHARE {
-        return "waited for placement";
+        return "waited for a place";
     }
-    if predicted_ms.is_some() { "predicted to be late" } else { "the endpoint was slow" }
+    if predicted_ms.is_some() { "predicted to be late" } else { "its endpoint was slow" }
 }
 
 /// Determines the cause of a pause. Checks whether the engine, as main engine or helper, started to
@@ -177,7 +177,7 @@
     end: &LogLine,
     prefill_sends: &[&LogLine],
 ) -> &'static str {
-    let Some(send) = request.sends.last() else { return "not known from the logs" };
+    let Some(send) = request.sends.last() else { return "not told by the logs" };
     let address = send.text("address");
     let is_concurrent = |other: &&&LogLine| {
         (send.time..end.time).contains(&other.time)
@@ -189,6 +189,6 @@
     if prefill_sends.iter().any(|other| is_concurrent(&other)) {
         "a long prompt was read beside it"
     } else {
-        "not known from the logs"
+        "not told by the logs"
     }
 }
