--- a/crates/seeds/src/lib.rs
+++ b/crates/seeds/src/lib.rs
@@ -1,41 +1,44 @@
-//! What seeded randomised runs have in common. Not shipped.
+//! Test support for seeded randomised tests. Not shipped.
 //!
-//! [`run_seeds`] chooses the seeds: `ORIOLEPASS_SEED=7` replays one with its trace,
-//! `ORIOLEPASS_SEEDS=20000` sets how many are run. [`coverage!`] declares counters of what a run
-//! met and fails when one of them stayed at zero: a failure that is never met is not tested.
+//! [`run_seeds`] selects the seeds: `ORIOLEPASS_SEED=7` replays a single seed with its trace, and
+//! `ORIOLEPASS_SEEDS=20000` sets the number of seeds. [`coverage!`] declares counters of the
+//! situations that a test must reach. A test fails if a counter is still zero at its end, because
+//! a fault that never occurs in the runs is not tested.
 
-/// Runs a test for its seeds; the second argument of `run` says whether to print a trace.
+/// Calls `run` for each seed; its second argument tells whether to print a trace.
 ///
-/// Returns whether all seeds were run rather than a single one.
+/// Returns `true` if the range of seeds was run, and `false` for the replay of a single seed.
 ///
 /// # Panics
 ///
-/// Panics when one of the environment variables is no number.
+/// Panics if one of the environment variables is not an unsigned integer.
 pub fn run_seeds(default_count: u64, mut run: impl FnMut(u64, bool)) -> bool {
-    if let Some(seed) = number("ORIOLEPASS_SEED") {
+    if let Some(seed) = env_number("ORIOLEPASS_SEED") {
         run(seed, true);
         return false;
     }
-    (0..number("ORIOLEPASS_SEEDS").unwrap_or(default_count)).for_each(|seed| run(seed, false));
+    (0..env_number("ORIOLEPASS_SEEDS").unwrap_or(default_count)).for_each(|seed| run(seed, false));
     true
 }
 
-fn number(name: &str) -> Option<u64> {
-    std::env::var(name).ok().map(|text| text.parse().expect("a number"))
+fn env_number(name: &str) -> Option<u64> {
+    std::env::var(name)
+        .ok()
+        .map(|text| text.parse().expect("the variable must be an unsigned integer"))
 }
 
-/// Declares a struct `Coverage` of counters.
+/// Declares a struct `Coverage` with a counter for each name.
 #[macro_export]
 macro_rules! coverage {
     ($($name:ident),* $(,)?) => {
-        /// How often each thing that the run is meant to meet was met.
+        /// The number of times that the runs reached each required situation.
         #[derive(Debug, Default)]
         pub struct Coverage { $(pub $name: u64),* }
 
         impl Coverage {
-            /// Fails when something that the run is meant to meet never happened.
+            /// Panics if a counter is zero.
             pub fn assert_all_met(&self) {
-                $(assert!(self.$name > 0, "{} was never met", stringify!($name));)*
+                $(assert!(self.$name > 0, "{} never occurred in the runs", stringify!($name));)*
             }
         }
 
--- a/crates/timer/src/clock.rs
+++ b/crates/timer/src/clock.rs
@@ -1,4 +1,4 @@
-//! Where `now` comes from.
+//! The clocks that supply the current time.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,7 +6,7 @@
 
 use oriolepass_units::MonotonicTime;
 
-/// A source of monotonic time: the system's clock, or one that a test moves by hand.
+/// A source of monotonic time: the system's clock, or a manual clock that a test advances.
 #[derive(Debug, Clone)]
 pub struct ClockSource(ClockKind);
 
@@ -22,12 +22,12 @@
         Self(ClockKind::System(Instant::now()))
     }
 
-    /// Creates a source that stands still until [`ClockSource::advance`] moves it.
+    /// Creates a manual source, whose time changes only through [`ClockSource::advance`].
     pub fn manual() -> Self {
         Self(ClockKind::Manual(Arc::default()))
     }
 
-    /// Returns the present moment.
+    /// Returns the current time.
     pub fn now(&self) -> MonotonicTime {
         match &self.0 {
             ClockKind::System(origin) => MonotonicTime::ZERO + origin.elapsed(),
@@ -35,11 +35,11 @@
         }
     }
 
-    /// Moves a manual source ahead.
+    /// Advances a manual source by `span`.
     ///
     /// # Panics
     ///
-    /// Panics on a system source, which nobody can move.
+    /// Panics on a system source, which cannot be advanced.
     pub fn advance(&self, span: Duration) {
         let ClockKind::Manual(micros) = &self.0 else {
             panic!("only a manual clock can be advanced");
--- a/crates/timer/src/lib.rs
+++ b/crates/timer/src/lib.rs
@@ -1,11 +1,11 @@
-//! The timer service: the one place where time passes.
+//! Runs callbacks at deadlines on a monotonic clock.
 //!
-//! Everything that waits subscribes here. The decision code never reads a clock; it is handed
-//! `now` with each event. Drivers learn `now` from a [`ClockSource`], which tests replace by a
-//! manual one, so that a test that covers an hour of leases takes milliseconds and never sleeps.
+//! Code that has to wait subscribes to the timer service. The decision code never reads a clock:
+//! it receives `now` with each event. Drivers read `now` from a [`ClockSource`]. Tests use a manual
+//! clock source, so that a test that covers an hour of leases takes milliseconds and never sleeps.
 //!
-//! [`TimerQueue`] is the sans-IO part: deadlines in order, cancellation by ticket.
-//! [`TimerService`] is the thread that runs one.
+//! * [`TimerQueue`] is the sans-IO part: it orders deadlines and cancels them by ticket.
+//! * [`TimerService`] is the thread that runs a queue.
 
 mod clock;
 mod queue;
--- a/crates/timer/src/queue.rs
+++ b/crates/timer/src/queue.rs
@@ -1,4 +1,4 @@
-//! Deadlines in order, without a thread or a clock.
+//! A queue of deadlines, independent of threads and clocks.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
     serial: u64,
 }
 
-/// Pending deadlines, each with a value handed back when it is due.
+/// Pending deadlines, each with a value that is returned when the deadline is due.
 #[derive(Debug)]
 pub struct TimerQueue<T> {
     pending: BTreeMap<TimerTicket, T>,
@@ -38,7 +38,7 @@
         self.pending.remove(&ticket)
     }
 
-    /// Removes and returns the earliest value that is due at `now`.
+    /// Removes the earliest deadline and returns its value if it is due at `now`.
     pub fn pop_due(&mut self, now: MonotonicTime) -> Option<T> {
         let entry = self.pending.first_entry()?;
         (entry.key().due <= now).then(|| entry.remove())
@@ -54,7 +54,7 @@
         self.pending.len()
     }
 
-    /// Returns whether nothing is pending.
+    /// Returns whether no deadline is pending.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
--- a/crates/timer/src/service.rs
+++ b/crates/timer/src/service.rs
@@ -1,4 +1,4 @@
-//! The thread that runs a [`TimerQueue`].
+//! The timer thread, which runs a [`TimerQueue`].
 
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::thread::{self, JoinHandle};
@@ -10,8 +10,9 @@
 
 type Callback = Box<dyn FnOnce() + Send>;
 
-/// Longest sleep of the thread, so that a manual clock moved by a test is noticed.
-const LONGEST_SLEEP: Duration = Duration::from_millis(50);
+/// The maximum sleep of the timer thread. It bounds the delay until the thread notices that a test
+/// advanced a manual clock.
+const MAX_SLEEP: Duration = Duration::from_millis(50);
 
 #[derive(Default)]
 struct SharedQueue {
@@ -19,10 +20,10 @@
     stopped: bool,
 }
 
-/// Calls subscribers back when their deadline is due.
+/// Calls each subscriber's callback when its deadline is due.
 ///
-/// Callbacks run on the timer thread and must not block: they push to a ring or complete a
-/// channel. Clones share one thread, which ends when [`TimerService::stop`] is called.
+/// Callbacks run on the timer thread and must not block; they typically push to a ring buffer or
+/// complete a channel. Clones share one thread, which ends when [`TimerService::stop`] is called.
 #[derive(Clone)]
 pub struct TimerService {
     clock: ClockSource,
@@ -34,7 +35,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the operating system's error when the thread cannot be started.
+    /// Returns the operating system's error if the thread cannot be started.
     pub fn start(clock: ClockSource) -> std::io::Result<(Self, JoinHandle<()>)> {
         let service = Self { clock, shared: Arc::default() };
         let worker = service.clone();
@@ -47,28 +48,28 @@
         &self.clock
     }
 
-    /// Returns the present moment on the service's clock.
+    /// Returns the current time on the service's clock.
     pub fn now(&self) -> MonotonicTime {
         self.clock.now()
     }
 
-    /// Calls `callback` once `due` has come.
+    /// Calls `callback` when `due` has been reached.
     pub fn subscribe(
         &self,
         due: MonotonicTime,
         callback: impl FnOnce() + Send + 'static,
     ) -> TimerTicket {
         let mut shared = self.lock();
-        let earlier = shared.queue.next_due().is_none_or(|next| due < next);
+        let is_earliest = shared.queue.next_due().is_none_or(|next| due < next);
         let ticket = shared.queue.insert(due, Box::new(callback));
         drop(shared);
-        if earlier {
+        if is_earliest {
             self.shared.1.notify_one();
         }
         ticket
     }
 
-    /// Calls `callback` every `period` until the service is stopped.
+    /// Calls `callback` repeatedly until the service is stopped, `period` after each call.
     pub fn subscribe_every(&self, period: Duration, callback: impl Fn() + Send + 'static) {
         let due = self.now() + period;
         let service = self.clone();
@@ -78,7 +79,7 @@
         });
     }
 
-    /// Forgets a subscription; does nothing when it has already been called back.
+    /// Cancels a subscription; has no effect if its callback has already been called.
     pub fn cancel(&self, ticket: TimerTicket) {
         self.lock().queue.cancel(ticket);
     }
@@ -88,14 +89,14 @@
         self.lock().queue.len()
     }
 
-    /// Ends the thread; pending subscriptions are dropped without being called.
+    /// Ends the thread. Callbacks of pending subscriptions are not called.
     pub fn stop(&self) {
         self.lock().stopped = true;
         self.shared.1.notify_all();
     }
 
     fn lock(&self) -> MutexGuard<'_, SharedQueue> {
-        self.shared.0.lock().expect("the timer thread panicked")
+        self.shared.0.lock().expect("timer mutex poisoned")
     }
 
     fn run(&self) {
@@ -108,9 +109,9 @@
                 shared = self.lock();
                 continue;
             }
-            let sleep = shared.queue.next_due().map_or(LONGEST_SLEEP, |due| due.since(now));
-            let sleep = sleep.min(LONGEST_SLEEP);
-            shared = self.shared.1.wait_timeout(shared, sleep).expect("timer lock").0;
+            let sleep = shared.queue.next_due().map_or(MAX_SLEEP, |due| due.since(now));
+            let sleep = sleep.min(MAX_SLEEP);
+            shared = self.shared.1.wait_timeout(shared, sleep).expect("timer mutex poisoned").0;
         }
     }
 }
