--- a/crates/schema/src/caller.rs
+++ b/crates/schema/src/caller.rs
@@ -1,17 +1,17 @@
-//! What callers send and receive.
+//! Requests and responses of the callers' API.
 
 use oriolepass_units::{CallerKey, DataCentreId, InstanceId, ModelId, TokenCount};
 use serde::{Deserialize, Serialize};
 
 use crate::error::RanState;
 
-/// Bytes of text counted as one token where the prompt comes as text.
+/// The number of bytes that count as one token in a prompt given as text.
 pub const BYTES_PER_TOKEN: usize = 4;
 
-/// Tokens of answer where the caller names no number.
+/// The limit of answer tokens if the call gives no `max_tokens`.
 pub const DEFAULT_ANSWER_TOKENS: u64 = 256;
 
-/// A prompt: text or token numbers.
+/// A prompt, given as text or as token numbers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum PromptBody {
@@ -22,7 +22,7 @@
 }
 
 impl PromptBody {
-    /// Returns the prompt's length; text counts one token for each [`BYTES_PER_TOKEN`] bytes.
+    /// Returns the prompt's length; text counts as one token per [`BYTES_PER_TOKEN`] bytes.
     pub fn tokens(&self) -> TokenCount {
         let count = match self {
             Self::Text(text) => text.len().div_ceil(BYTES_PER_TOKEN),
@@ -35,24 +35,24 @@
 /// One message of a chat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChatMessage {
-    /// Who speaks.
+    /// The role of the message's author.
     pub role: String,
-    /// What is said.
+    /// The text of the message.
     pub content: String,
 }
 
-/// How urgent a request is within its account.
+/// The priority of a request within its account.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum RequestPriority {
-    /// After everything else of the account.
+    /// Scheduled after all other requests of the account.
     Low,
-    /// The usual.
+    /// The default priority.
     #[default]
     Normal,
-    /// Before everything else of the account.
+    /// Scheduled before all other requests of the account.
     High,
 }
 
@@ -60,27 +60,27 @@
     true
 }
 
-/// The fields of a completion call that are not the prompt.
+/// The fields of a completion call other than the prompt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletionOptions {
-    /// The model.
+    /// The id of the model.
     pub model: ModelId,
-    /// The most tokens of answer.
+    /// The maximum number of answer tokens.
     #[serde(default)]
     pub max_tokens: Option<u64>,
     /// Whether to stream the answer as server-sent events.
     #[serde(default)]
     pub stream: bool,
-    /// How urgent it is.
+    /// The priority of the request within its account.
     #[serde(default)]
     pub priority: RequestPriority,
-    /// The time it may take, in milliseconds from its arrival.
+    /// The time limit of the request, in milliseconds from its arrival.
     #[serde(default)]
     pub deadline_ms: Option<u64>,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     #[serde(default = "repeatable_by_default")]
     pub repeatable: bool,
-    /// Names the request for resends; needed where it may not be repeated.
+    /// Identifies the request when it is sent again; required if it must not run more than once.
     #[serde(default)]
     pub caller_key: Option<CallerKey>,
 }
@@ -90,7 +90,7 @@
 pub struct CompletionCall {
     /// The prompt.
     pub prompt: PromptBody,
-    /// Everything else.
+    /// All other fields.
     #[serde(flatten)]
     pub options: CompletionOptions,
 }
@@ -98,15 +98,15 @@
 /// The body of `POST /v1/chat/completions`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChatCall {
-    /// The messages so far.
+    /// The messages of the conversation so far.
     pub messages: Vec<ChatMessage>,
-    /// Everything else.
+    /// All other fields.
     #[serde(flatten)]
     pub options: CompletionOptions,
 }
 
 impl From<ChatCall> for CompletionCall {
-    /// Joins the messages into one prompt, each under its role.
+    /// Joins the messages into one prompt, each prefixed by its role.
     fn from(call: ChatCall) -> Self {
         let joined = call.messages.iter().fold(String::new(), |mut text, message| {
             text.push_str(&message.role);
@@ -119,36 +119,36 @@
     }
 }
 
-/// One choice of an answer; oriolepass always gives one.
+/// One choice of an answer; oriolepass always returns exactly one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletionChoice {
     /// Always 0.
     pub index: u32,
-    /// The text, or the next piece of it.
+    /// The text, or the next piece of a streamed text.
     pub text: String,
-    /// Why the answer ended; absent while it goes on.
+    /// The reason that the answer ended; absent until then.
     pub finish_reason: Option<String>,
 }
 
-/// What an answer used.
+/// The token usage of an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenUsage {
-    /// Tokens of prompt.
+    /// The number of prompt tokens.
     pub prompt_tokens: TokenCount,
-    /// Tokens of answer.
+    /// The number of answer tokens.
     pub completion_tokens: TokenCount,
 }
 
-/// What lets a caller check that an answer is whole.
+/// Data with which a caller verifies that an answer is complete.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerProof {
     /// SHA-256 of the answer's text.
     pub digest: String,
-    /// How often it was tried on an endpoint.
+    /// The number of attempts to run the request on an endpoint.
     pub attempts: u32,
-    /// Whether it ran; always `yes` in a whole answer.
+    /// Whether the request ran; always `yes` in a complete answer.
     pub ran: RanState,
-    /// Whether this is the kept answer of an earlier request with the same caller key.
+    /// Whether this is the stored answer of an earlier request with the same caller key.
     #[serde(default)]
     pub kept: bool,
 }
@@ -156,80 +156,80 @@
 /// An answer, or one piece of a streamed answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletionAnswer {
-    /// The request's id.
+    /// The id of the request.
     pub id: String,
-    /// The kind of object, as callers' libraries expect.
+    /// The object type that client libraries expect.
     pub object: String,
-    /// The model.
+    /// The id of the model.
     pub model: ModelId,
-    /// The text.
+    /// The choices, each with its text.
     pub choices: Vec<CompletionChoice>,
-    /// Present in a whole answer and in the last piece of a stream.
+    /// The token usage; present in a complete answer and in the last piece of a stream.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub usage: Option<TokenUsage>,
-    /// Present in a whole answer and in the last piece of a stream.
+    /// The proof of completeness; present in a complete answer and in the last piece of a stream.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub oriolepass: Option<AnswerProof>,
 }
 
-/// The next piece of a chat's answer.
+/// The next piece of a streamed chat answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChatDelta {
-    /// Who speaks; the system always answers as the assistant.
+    /// The role of the author; always `assistant`.
     pub role: String,
-    /// The text.
+    /// The text of the piece.
     pub content: String,
 }
 
-/// One choice of a chat's answer: a whole message, or the next piece of one.
+/// One choice of a chat answer: a complete message, or the next piece of a streamed message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChatChoice {
     /// Always 0.
     pub index: u32,
-    /// The whole message, where the answer is not streamed.
+    /// The complete message; present if the answer is not streamed.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub message: Option<ChatMessage>,
-    /// The next piece, where it is.
+    /// The next piece of the message; present if the answer is streamed.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub delta: Option<ChatDelta>,
-    /// Why the answer ended; absent while it goes on.
+    /// The reason that the answer ended; absent until then.
     pub finish_reason: Option<String>,
 }
 
-/// A chat's answer, or one piece of a streamed one.
+/// A chat answer, or one piece of a streamed chat answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChatAnswer {
-    /// The request's id.
+    /// The id of the request.
     pub id: String,
-    /// The kind of object, as callers' libraries expect.
+    /// The object type that client libraries expect.
     pub object: String,
-    /// The model.
+    /// The id of the model.
     pub model: ModelId,
-    /// The message or its piece.
+    /// The choices, each with the message or a piece of it.
     pub choices: Vec<ChatChoice>,
-    /// Present in a whole answer and in the last piece of a stream.
+    /// The token usage; present in a complete answer and in the last piece of a stream.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub usage: Option<TokenUsage>,
-    /// Present in a whole answer and in the last piece of a stream.
+    /// The proof of completeness; present in a complete answer and in the last piece of a stream.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub oriolepass: Option<AnswerProof>,
 }
 
-/// A completion as it is kept for resends.
+/// A completion stored to answer requests that are sent again with the same caller key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptCompletion {
-    /// The text.
+    /// The text of the answer.
     pub text: String,
-    /// Its tokens.
+    /// The number of tokens of the text.
     pub tokens: TokenCount,
     /// SHA-256 of the text.
     pub digest: String,
-    /// Why it ended.
+    /// The reason that the answer ended.
     pub finish_reason: String,
 }
 
 impl KeptCompletion {
-    /// Writes it as JSON.
+    /// Serialises the completion as JSON.
     pub fn to_json(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
@@ -238,19 +238,19 @@
 /// One address in the answer of `GET /v1/addresses`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryAddress {
-    /// The instance.
+    /// The id of the instance.
     pub instance: InstanceId,
-    /// Its data centre.
+    /// The data centre of the instance.
     pub data_centre: DataCentreId,
-    /// Where callers connect, as `IP:PORT`.
+    /// The address for callers, as `IP:PORT`.
     pub address: std::net::SocketAddr,
 }
 
-/// The answer of `GET /v1/addresses`: the best address first.
+/// The answer to `GET /v1/addresses`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AddressList {
-    /// The addresses, best first.
+    /// The addresses, in order of preference.
     pub addresses: Vec<EntryAddress>,
-    /// How long to keep this answer, in milliseconds.
+    /// The time for which a caller may cache this answer, in milliseconds.
     pub keep_ms: u64,
 }
--- a/crates/schema/src/digest.rs
+++ b/crates/schema/src/digest.rs
@@ -1,21 +1,22 @@
-//! The running digest of an answer.
+//! Incremental SHA-256 digests of answers.
 
 use sha2::{Digest, Sha256};
 
-/// Digests an answer's bytes as they pass.
+/// An incremental digest of an answer's bytes.
 ///
-/// Endpoint and entry instance each keep one. They are compared at the explicit end of the
-/// answer; a difference means that a piece was lost, doubled or not the request's own.
+/// The endpoint and the entry instance, which is the instance that received the request, each
+/// compute a digest. The two are compared at the explicit end of the answer. A difference means
+/// that a piece was lost, duplicated or belonged to another request.
 #[derive(Debug, Clone, Default)]
 pub struct AnswerDigest(Sha256);
 
 impl AnswerDigest {
-    /// Adds the next bytes.
+    /// Adds `bytes` to the digest.
     pub fn update(&mut self, bytes: &[u8]) {
         self.0.update(bytes);
     }
 
-    /// Returns the digest of all bytes so far, in lower-case hexadecimal.
+    /// Returns the digest of all bytes added so far, in lower-case hexadecimal.
     pub fn finish(&self) -> String {
         hex(&self.0.clone().finalize())
     }
@@ -26,7 +27,7 @@
     hex(&Sha256::digest(bytes))
 }
 
-/// Writes bytes in lower-case hexadecimal.
+/// Encodes `bytes` in lower-case hexadecimal.
 pub fn hex(bytes: &[u8]) -> String {
     use std::fmt::Write;
 
--- a/crates/schema/src/endpoint.rs
+++ b/crates/schema/src/endpoint.rs
@@ -1,7 +1,8 @@
-//! What endpoints announce, and what the system asks of them.
+//! Messages between endpoints and daemons.
 //!
-//! Every message of an endpoint carries its incarnation, so that what a restarted endpoint's
-//! earlier life had to say is told from the present one.
+//! An endpoint announces itself to its home, the one daemon that grants the use of its memory, and
+//! sends heartbeats to it. Every message of an endpoint carries its incarnation, which
+//! distinguishes messages of the current start from delayed messages of an earlier start.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,87 +15,90 @@
 
 use crate::caller::PromptBody;
 
-/// What an endpoint serves.
+/// The kind of work that an endpoint serves.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "lowercase")]
 pub enum EndpointKind {
     /// A model engine.
     Engine {
-        /// The models loaded.
+        /// The loaded models.
         models: Vec<ModelId>,
-        /// Memory for KV cache.
+        /// The memory for the KV cache, in tokens.
         memory: TokenCount,
-        /// Prompt tokens processed a second by an otherwise empty engine.
+        /// The number of prompt tokens per second that an otherwise idle engine processes.
         prefill_rate: TokenRate,
     },
     /// A plain service.
     Service {
-        /// The name that callers use.
+        /// The name under which callers address the service.
         service: ServiceName,
-        /// How many calls it takes at a time.
+        /// The maximum number of concurrent calls.
         concurrency: u32,
     },
 }
 
-/// `POST /v1/endpoints/announce`: an endpoint makes itself known.
+/// The body of `POST /v1/endpoints/announce`: an endpoint registers with its home.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointAnnouncement {
-    /// The endpoint.
+    /// The id of the endpoint.
     pub endpoint: EndpointId,
-    /// Its present life.
+    /// The endpoint's current incarnation.
     pub incarnation: Incarnation,
-    /// Its data centre.
+    /// The endpoint's data centre.
     pub data_centre: DataCentreId,
-    /// Where it takes work.
+    /// The address at which the endpoint accepts requests.
     pub address: SocketAddr,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether the endpoint rejects orders with an outdated fencing number.
     #[serde(default)]
     pub fenced: bool,
-    /// Milliseconds since it last sent a heartbeat to another home that has not released it;
-    /// absent where there is none. The new home waits until the other has certainly stopped.
+    /// The time since the endpoint last sent a heartbeat to another home that has not released it,
+    /// in milliseconds; absent if there is no such home. The new home waits until the other home
+    /// is certain to have stopped granting the endpoint's memory.
     #[serde(default)]
     pub other_home_ms: Option<u64>,
-    /// What it serves.
+    /// The kind of work that the endpoint serves.
     #[serde(flatten)]
     pub kind: EndpointKind,
 }
 
-/// The answer to a heartbeat, to cache events and to a leave.
+/// The answer to a heartbeat, to cache events and to a leave message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatAnswer {
-    /// Whether this daemon is the endpoint's home and knows it. Otherwise the endpoint
-    /// announces itself again.
+    /// Whether this daemon is the endpoint's home and has it registered. Otherwise the endpoint
+    /// must announce itself again.
     pub accepted: bool,
-    /// Whether this daemon was its home and has let it go: it grants nothing there any more.
+    /// Whether this daemon was the endpoint's home and has released it. A daemon grants no memory
+    /// of a released endpoint.
     pub released: bool,
-    /// The home's address for endpoints, if another daemon is it.
+    /// The home's address for endpoints, if the home is another daemon.
     pub home: Option<SocketAddr>,
 }
 
 /// The answer to an announcement.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnnouncementAnswer {
-    /// Whether this daemon is the endpoint's home and has taken it in. Otherwise the endpoint
-    /// announces itself at `home`.
+    /// Whether this daemon is the endpoint's home and has registered it. Otherwise the endpoint
+    /// must announce itself at `home`.
     pub accepted: bool,
-    /// The home's address for endpoints; absent while no home is known.
+    /// The home's address for endpoints; absent if no home is known.
     pub home: Option<SocketAddr>,
-    /// The time between heartbeats, in milliseconds.
+    /// The interval between heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
 }
 
-/// `POST /v1/endpoints/heartbeat`: a sign of life with the load, which lags.
+/// The body of `POST /v1/endpoints/heartbeat`: a liveness signal with the endpoint's load, which
+/// may be outdated on arrival.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointHeartbeat {
-    /// The endpoint.
+    /// The id of the endpoint.
     pub endpoint: EndpointId,
-    /// Its present life.
+    /// The endpoint's current incarnation.
     pub incarnation: Incarnation,
-    /// Memory in use.
+    /// The memory in use.
     pub used: TokenCount,
-    /// Prompt tokens accepted and not yet processed.
+    /// The number of prompt tokens that are accepted but not yet processed.
     pub prefill_backlog: TokenCount,
-    /// Streams that produce tokens.
+    /// The number of streams that produce tokens.
     pub streams: u32,
 }
 
@@ -102,97 +106,101 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CacheChange {
-    /// The prefix is cached now.
+    /// The prefix was added to the cache.
     Stored(PrefixHash),
-    /// The prefix is cached no longer.
+    /// The prefix was removed from the cache.
     Evicted(PrefixHash),
 }
 
-/// `POST /v1/endpoints/cache-events`: changes of the prefix cache, late and with gaps.
+/// The body of `POST /v1/endpoints/cache-events`: changes of the prefix cache, which may arrive
+/// late or with gaps.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// The endpoint.
+    /// The id of the endpoint.
     pub endpoint: EndpointId,
-    /// Its present life.
+    /// The endpoint's current incarnation.
     pub incarnation: Incarnation,
-    /// The sequence number of the first change; a jump means that some were lost.
+    /// The sequence number of the first change; a gap to the previous message means that changes
+    /// were lost.
     pub first_sequence: u64,
-    /// The changes.
+    /// The changes, in order.
     pub changes: Vec<CacheChange>,
 }
 
-/// `POST /v1/endpoints/leave`: the endpoint takes no new work from now on.
+/// The body of `POST /v1/endpoints/leave`: the endpoint accepts no new work from now on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointLeave {
-    /// The endpoint.
+    /// The id of the endpoint.
     pub endpoint: EndpointId,
-    /// Its present life.
+    /// The endpoint's current incarnation.
     pub incarnation: Incarnation,
 }
 
-/// `POST /v1/attempts` on an engine: run a prompt; answered with [`StreamLine`]s.
+/// The body of `POST /v1/attempts` on an engine, which runs a prompt and answers with a stream of
+/// [`StreamLine`]s.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptCall {
-    /// The attempt; every line of the answer echoes it.
+    /// The id of the attempt; every line of the answer repeats it.
     pub attempt: AttemptId,
-    /// The model.
+    /// The model to run.
     pub model: ModelId,
-    /// The prompt; shared, since a long one must not be copied for every attempt.
+    /// The prompt; shared, because a long prompt must not be copied for every attempt.
     pub prompt: Arc<PromptBody>,
-    /// The most tokens of answer.
+    /// The maximum number of answer tokens.
     pub max_tokens: u64,
-    /// Memory set aside on this engine.
+    /// The memory reserved on this engine.
     pub reserved: TokenCount,
-    /// Prompts with a larger number are processed first.
+    /// The priority; prompts with a larger number are processed first.
     pub priority: u8,
-    /// Tokens of the answer that the caller already has; the engine goes on after them.
+    /// The number of answer tokens that the caller already has; the engine continues after them.
     pub resume_from: u64,
-    /// Their text. The digest at the end covers it as well.
+    /// The text of these tokens. The digest at the end of the answer covers it as well.
     pub resume_text: String,
-    /// The other engines that hold a part of the prompt, by their addresses.
+    /// The addresses of the other engines that hold a part of the prompt.
     pub helpers: Vec<SocketAddr>,
 }
 
-/// `POST /v1/parts` on an engine: hold memory for a part of a prompt that another one leads.
+/// The body of `POST /v1/parts` on an engine, which holds memory for a part of a prompt whose
+/// attempt runs on another engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartCall {
-    /// The attempt.
+    /// The id of the attempt.
     pub attempt: AttemptId,
-    /// Memory set aside on this engine.
+    /// The memory reserved on this engine.
     pub reserved: TokenCount,
 }
 
-/// One line of an engine's answer, as a server-sent event.
+/// One line of an engine's answer, sent as a server-sent event.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "line", rename_all = "lowercase")]
 pub enum StreamLine {
     /// The next token of the answer.
     Token {
-        /// The attempt that it belongs to.
+        /// The attempt that the line belongs to.
         attempt: AttemptId,
-        /// Its position in the answer, counted from 0.
+        /// The position of the token in the answer, counted from 0.
         index: u64,
-        /// Its text.
+        /// The text of the token.
         text: String,
     },
-    /// The explicit end.
+    /// The explicit end of the answer.
     End {
-        /// The attempt that it belongs to.
+        /// The attempt that the line belongs to.
         attempt: AttemptId,
-        /// Tokens in the whole answer, those before `resume_from` included.
+        /// The number of tokens of the complete answer, including those before `resume_from`.
         tokens: u64,
-        /// SHA-256 of the whole answer.
+        /// SHA-256 of the complete answer.
         digest: String,
-        /// Why it ended.
+        /// The reason that the answer ended.
         finish_reason: String,
     },
-    /// The engine gave up.
+    /// The engine stopped the attempt without completing the answer.
     Failed {
-        /// The attempt that it belongs to.
+        /// The attempt that the line belongs to.
         attempt: AttemptId,
-        /// Whether the engine did any of the work.
+        /// Whether the engine executed any part of the request.
         ran: bool,
-        /// The reason.
+        /// The reason for the failure.
         message: String,
     },
 }
@@ -208,52 +216,52 @@
     }
 }
 
-/// One entry of `GET /v1/streams` on an engine: something that holds memory.
+/// One entry of `GET /v1/streams` on an engine: an attempt that holds memory.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldStream {
-    /// The attempt.
+    /// The id of the attempt.
     pub attempt: AttemptId,
-    /// Memory it holds.
+    /// The memory that the attempt holds.
     pub reserved: TokenCount,
 }
 
-/// The answer of `GET /v1/streams`.
+/// The answer to `GET /v1/streams`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldStreams {
-    /// Everything that holds memory.
+    /// All attempts that hold memory.
     pub streams: Vec<HeldStream>,
 }
 
-/// What an order asks of an engine.
+/// The action that an order requests from an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "order", rename_all = "snake_case")]
 pub enum OrderKind {
     /// Load a model.
     LoadModel {
-        /// The model.
+        /// The id of the model.
         model: ModelId,
     },
-    /// Drop a model.
+    /// Unload a model.
     UnloadModel {
-        /// The model.
+        /// The id of the model.
         model: ModelId,
     },
 }
 
-/// `POST /v1/orders` on an engine.
+/// The body of `POST /v1/orders` on an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointOrder {
-    /// Names the order; the same one again changes nothing.
+    /// Identifies the order; repeating an order has no effect.
     pub order_id: String,
-    /// The issuer's fencing number.
+    /// The fencing number of the issuer.
     pub fencing: FencingNumber,
-    /// What to do.
+    /// The requested action.
     #[serde(flatten)]
     pub kind: OrderKind,
 }
 
-/// The header in which a plain service receives the attempt id and echoes it.
+/// The header that carries the attempt id to a plain service and back.
 pub const ATTEMPT_HEADER: &str = "x-oriolepass-attempt";
 
-/// The header with which a plain service says that it refused a call without acting on it.
+/// The header with which a plain service reports that it rejected a call without acting on it.
 pub const NOT_RUN_HEADER: &str = "x-oriolepass-not-run";
--- a/crates/schema/src/error.rs
+++ b/crates/schema/src/error.rs
@@ -1,4 +1,4 @@
-//! Stable error codes, each with its HTTP status and whether the request may have run.
+//! Stable error codes with their HTTP status, and the error that reports whether a request ran.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,8 +7,8 @@
 
 /// Whether a request ran on an endpoint.
 ///
-/// `No` is a promise: no byte of the request can have reached an endpoint that would act on it,
-/// or the endpoint itself said that it did not act.
+/// `No` is a guarantee: either no byte of the request can have reached an endpoint that would act
+/// on it, or the endpoint itself reported that it did not act.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RanState {
@@ -16,7 +16,7 @@
     No,
     /// The request ran.
     Yes,
-    /// It cannot be told.
+    /// It is not known whether the request ran.
     Unknown,
 }
 
@@ -32,27 +32,27 @@
 
 macro_rules! error_codes {
     ($($(#[$doc:meta])* $name:ident = $text:literal, $status:literal, $remedy:literal;)*) => {
-        /// A stable code that callers and operators may act on.
+        /// A stable error code; callers and operators may depend on its meaning.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
         pub enum ErrorCode {
             $($(#[$doc])* #[serde(rename = $text)] $name,)*
         }
 
         impl ErrorCode {
-            /// Every code, in the order of the documentation.
+            /// All codes, in the order of the documentation.
             pub const ALL: &[Self] = &[$(Self::$name),*];
 
-            /// Returns the code as it stands in answers.
+            /// Returns the code as it is written in answers.
             pub fn as_str(self) -> &'static str {
                 match self { $(Self::$name => $text),* }
             }
 
-            /// Returns the HTTP status that goes with the code.
+            /// Returns the HTTP status of the code.
             pub fn status(self) -> u16 {
                 match self { $(Self::$name => $status),* }
             }
 
-            /// Returns what the receiver can do about it.
+            /// Returns the action that the receiver of the error can take.
             pub fn remedy(self) -> &'static str {
                 match self { $(Self::$name => $remedy),* }
             }
@@ -61,49 +61,49 @@
 }
 
 error_codes! {
-    /// The body is not what the call expects.
+    /// The request does not have the form that the call expects.
     Malformed = "malformed", 400, "correct the request as the message says";
-    /// No key or a wrong one.
+    /// The key is missing or invalid.
     Unauthorized = "unauthorized", 401, "send a valid key as `Authorization: Bearer KEY`";
-    /// The key does not reach that object.
+    /// The key does not grant access to the object.
     Forbidden = "forbidden", 403, "use a key of the team or account that owns the object";
-    /// Nothing stands at that path or under that name.
+    /// No resource exists at the path or under the name.
     NotFound = "not_found", 404, "check the path and the name";
-    /// The path exists, with another method.
+    /// The path exists, but not with this method.
     MethodNotAllowed = "method_not_allowed", 405, "use the method that the schema names";
-    /// The body did not arrive in time.
+    /// The request body did not arrive within the time limit.
     SlowRequest = "slow_request", 408, "send the body faster";
-    /// The object has another revision than expected.
+    /// The object's revision differs from the expected revision.
     Conflict = "conflict", 409, "read the present revision and decide again";
-    /// The change id was used for another change.
+    /// The change id has already been used for a different change.
     ChangeIdReused = "change_id_reused", 409, "use a fresh change id for another change";
-    /// The caller key was used for another request.
+    /// The caller key has already been used for a different request.
     CallerKeyReused = "caller_key_reused", 409, "use a fresh caller key for another request";
     /// The request with this caller key is still running.
     StillRunning = "still_running", 409, "ask again later with the same key and body";
-    /// The request with this caller key ran; its answer was too long to keep.
+    /// The request with this caller key ran, but its answer was too long to store.
     AnswerNotKept = "answer_not_kept", 410, "it ran; do not send it again";
-    /// The body is over the limit.
+    /// The request exceeds a size limit.
     TooLarge = "too_large", 413, "shorten the prompt to the limit in the message";
-    /// The request can never be served as it stands.
+    /// The request can never be served in its present form.
     Unservable = "unservable", 422, "ask for less memory or another model";
-    /// The account has used up its share for now.
+    /// The account has exhausted its share for now.
     AccountLimited = "account_limited", 429, "wait as Retry-After says, or ask for a larger share";
-    /// There is no room for the request now.
+    /// There is no capacity for the request at present.
     Overloaded = "overloaded", 503, "wait as Retry-After says";
-    /// The daemon is about to leave.
+    /// The daemon is draining and accepts no new requests.
     Draining = "draining", 503, "ask for the addresses again and use another one";
-    /// The daemon has not caught up with the accepted configuration yet.
+    /// The daemon has not yet applied the accepted configuration.
     NotReady = "not_ready", 503, "use another address, or wait as Retry-After says";
     /// A majority of the voters cannot be reached.
     NoQuorum = "no_quorum", 503, "wait as Retry-After says; repeatable requests go on";
-    /// The deadline passed.
+    /// The request's deadline passed.
     DeadlineExceeded = "deadline_exceeded", 504, "allow more time, or send it again if it may be repeated";
-    /// Every attempt failed on its endpoint.
+    /// All attempts failed on their endpoints.
     EndpointFailed = "endpoint_failed", 502, "send it again if it may be repeated";
     /// The outcome of a non-repeatable request is not known.
     OutcomeUnknown = "outcome_unknown", 502, "check at the service whether it ran before sending a new one";
-    /// The daemon met a state that it should not.
+    /// The daemon reached an unexpected state.
     Internal = "internal", 500, "report it with the request id";
 }
 
@@ -113,31 +113,33 @@
     }
 }
 
-/// A refusal or failure, as it stands in an answer.
+/// A refusal or failure, as it is written in an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{message}")]
 pub struct ApiError {
-    /// The stable code.
+    /// The stable error code.
     pub code: ErrorCode,
-    /// What happened and what to do about it.
+    /// A description of the error, followed by the remedy.
     pub message: String,
     /// Whether the request ran.
     pub ran: RanState,
-    /// When to come back, in milliseconds, where waiting helps.
+    /// The delay after which the caller may retry, in milliseconds; absent if waiting does not
+    /// help.
     #[serde(default)]
     pub retry_after_ms: Option<u64>,
-    /// The revision that stands now, for conflicts.
+    /// The object's current revision; present for conflicts.
     #[serde(default)]
     pub present_revision: Option<oriolepass_units::ObjectRevision>,
 }
 
 impl ApiError {
-    /// Creates an error of a request that did not run; the code's remedy ends the message.
+    /// Creates an error for a request that did not run. The remedy of `code` is appended to
+    /// `detail`.
     pub fn not_run(code: ErrorCode, detail: impl fmt::Display) -> Self {
         Self::new(code, RanState::No, detail)
     }
 
-    /// Creates an error; the code's remedy ends the message.
+    /// Creates an error. The remedy of `code` is appended to `detail`.
     pub fn new(code: ErrorCode, ran: RanState, detail: impl fmt::Display) -> Self {
         Self {
             code,
@@ -148,15 +150,15 @@
         }
     }
 
-    /// Adds the time after which a new try makes sense.
+    /// Sets the delay after which the caller may retry.
     #[must_use]
-    pub fn retry_after(mut self, span: Duration) -> Self {
-        self.retry_after_ms = Some(u64::try_from(span.as_millis()).unwrap_or(u64::MAX));
+    pub fn retry_after(mut self, delay: Duration) -> Self {
+        self.retry_after_ms = Some(u64::try_from(delay.as_millis()).unwrap_or(u64::MAX));
         self
     }
 }
 
-/// The envelope of an error.
+/// The response body that carries an error.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
     /// The error.
--- a/crates/schema/src/lib.rs
+++ b/crates/schema/src/lib.rs
@@ -1,17 +1,17 @@
-//! The messages that cross a process boundary, and nothing else.
+//! Defines the messages that cross a process boundary.
 //!
-//! * [`caller`]: what callers send and receive.
-//! * [`endpoint`]: what endpoints announce, and what the system asks of them.
-//! * [`operator`]: the operators' calls, described for other languages in `openapi.json` beside
-//!   this package.
-//! * [`wire_capnp`]: the framing between daemons, generated from
-//!   `wire.capnp` and committed, so that the build needs no generator.
-//! * [`routes`]: every call of every listener.
-//! * [`error`]: the stable error codes that all of them share.
-//! * [`digest`]: the running digest that lets a receiver tell a whole answer from a cut one.
+//! * [`caller`]: requests and responses of the callers' API.
+//! * [`endpoint`]: messages between endpoints and daemons.
+//! * [`operator`]: requests and responses of the operators' API. The file `openapi.json` of this
+//!   crate describes the calls of operators, callers and endpoints for clients in other languages.
+//! * [`wire_capnp`]: the framing between daemons. The module is generated from `wire.capnp` and
+//!   committed, so that the build needs no generator.
+//! * [`routes`]: the HTTP routes of all listeners.
+//! * [`error`]: the stable error codes, which all APIs share.
+//! * [`digest`]: the incremental digest with which a receiver detects a truncated answer.
 //!
-//! Types here carry no behaviour beyond checks of their own form. Decisions live in the packages
-//! that use them.
+//! The types have no behaviour beyond validation of their own form. Decisions are made in the
+//! crates that use them.
 
 pub mod caller;
 pub mod digest;
@@ -24,5 +24,5 @@
 #[rustfmt::skip]
 pub mod wire_capnp;
 
-/// The OpenAPI description of every call that operators, callers and endpoints can make.
+/// The OpenAPI description of all calls of operators, callers and endpoints.
 pub const OPENAPI_JSON: &str = include_str!("../openapi.json");
--- a/crates/schema/src/operator.rs
+++ b/crates/schema/src/operator.rs
@@ -1,8 +1,9 @@
-//! The operators' calls.
+//! Requests and responses of the operators' API.
 //!
-//! A configuration is a set of objects, each owned by one team and numbered by revisions. A
-//! change names the object, the revision it expects and a change id of the operator's choice:
-//! the revision lets one of two racing operators win, the id lets a resend be recognised.
+//! A configuration is a set of objects. Each object is owned by one team and has a revision. A
+//! change names the object, the revision that the operator expects and a change id that the
+//! operator chooses. The expected revision resolves races: only one of two concurrent changes
+//! succeeds. The change id identifies a change that is sent again.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -15,10 +16,10 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// The most keys that are valid for one holder at a time: the present one and its successor.
+/// The maximum number of keys of one object: the current key and its successor during a rotation.
 pub const MAX_KEYS: usize = 2;
 
-/// The kinds of configuration object.
+/// The kind of a configuration object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ObjectKind {
@@ -26,9 +27,9 @@
     Team,
     /// A client account.
     Account,
-    /// A model with its wanted placement.
+    /// A model with its desired placement.
     Model,
-    /// A pool of endpoints: the key that they announce with, and their role.
+    /// A pool of endpoints: the keys with which they announce themselves, and their role.
     Pool,
 }
 
@@ -57,18 +58,18 @@
     }
 }
 
-/// The SHA-256 of a key, in lower-case hexadecimal. Keys themselves are never stored.
+/// The SHA-256 of a key, in lower-case hexadecimal. The key itself is never stored.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct KeyHash(pub String);
 
 impl KeyHash {
-    /// Hashes a key.
+    /// Computes the hash of a key.
     pub fn of(key: &str) -> Self {
         Self(crate::digest::sha256_hex(key.as_bytes()))
     }
 
-    /// Returns whether the text has the form of a hash.
+    /// Returns whether the text consists of 64 lower-case hexadecimal digits.
     pub fn is_well_formed(&self) -> bool {
         self.0.len() == 64 && self.0.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'))
     }
@@ -78,7 +79,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TeamSpec {
-    /// The operators' keys.
+    /// The hashes of the operators' keys.
     pub keys: Vec<KeyHash>,
     /// Whether the team may create and change teams.
     #[serde(default)]
@@ -89,39 +90,41 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AccountSpec {
-    /// The callers' keys.
+    /// The hashes of the callers' keys.
     pub keys: Vec<KeyHash>,
-    /// Its weight among the accounts: twice the share is twice the work under contention.
+    /// The account's weight: under contention, an account with twice the share gets twice the work
+    /// done.
     pub share: u32,
-    /// The most tokens that its requests may hold in engine memory through one home.
+    /// The maximum number of tokens that the account's requests may hold in the memory of the
+    /// engines of one home.
     #[serde(default)]
     pub max_held: Option<TokenCount>,
 }
 
-/// A model with its wanted placement.
+/// A model with its desired placement.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelSpec {
-    /// The version to serve.
+    /// The version of the model to serve.
     pub version: String,
-    /// The adapters to load beside it.
+    /// The adapters to load with the model.
     #[serde(default)]
     pub adapters: Vec<String>,
-    /// How many engines of each data centre should have it loaded.
+    /// The number of engines that should have the model loaded, per data centre.
     #[serde(default)]
     pub replicas: BTreeMap<DataCentreId, u32>,
-    /// The longest prompt accepted.
+    /// The maximum prompt length.
     pub max_prompt: TokenCount,
 }
 
-/// What the endpoints of a pool are for.
+/// The requests that the endpoints of a pool serve.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PoolRole {
-    /// Any work.
+    /// Any request.
     #[default]
     General,
-    /// Short prompts only.
+    /// Only short prompts.
     Short,
 }
 
@@ -129,9 +132,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PoolSpec {
-    /// The keys that its endpoints announce with.
+    /// The hashes of the keys with which the endpoints announce themselves.
     pub keys: Vec<KeyHash>,
-    /// What they are for.
+    /// The requests that the endpoints serve.
     #[serde(default)]
     pub role: PoolRole,
 }
@@ -161,7 +164,7 @@
         }
     }
 
-    /// Returns the keys that the object holds.
+    /// Returns the key hashes of the object.
     pub fn keys(&self) -> &[KeyHash] {
         match self {
             Self::Team(spec) => &spec.keys,
@@ -172,13 +175,13 @@
     }
 }
 
-/// What to do with an object.
+/// The operation of a change on an object.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ChangeAction {
-    /// Create it or replace its content.
+    /// Creates the object or replaces its content.
     Put(ObjectSpec),
-    /// Remove it.
+    /// Removes the object.
     Delete(ObjectKind),
 }
 
@@ -192,19 +195,19 @@
     }
 }
 
-/// `POST /v1/changes`: one change of the configuration.
+/// The body of `POST /v1/changes`: one change of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeCall {
-    /// Names the change, so that a resend gets the first answer.
+    /// Identifies the change, so that a resend gets the answer of the first send.
     pub change_id: ChangeId,
     /// The object's name.
     pub name: String,
-    /// The revision that the object must have now; 0 to create it.
+    /// The revision that the object must have; 0 to create the object.
     pub expected_revision: ObjectRevision,
-    /// What to do.
+    /// The operation.
     pub action: ChangeAction,
-    /// Why, for the audit trail.
+    /// The reason for the change, recorded in the audit trail.
     #[serde(default)]
     pub reason: String,
 }
@@ -212,34 +215,34 @@
 /// The answer to an accepted change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeAnswer {
-    /// The change.
+    /// The id of the change.
     pub change_id: ChangeId,
-    /// The object's revision after it.
+    /// The object's revision after the change.
     pub revision: ObjectRevision,
-    /// The configuration's revision after it; it is in force at a daemon whose applied revision
-    /// is at least this.
+    /// The configuration's revision after the change. The change is in force at a daemon whose
+    /// applied revision is at least this revision.
     pub config_revision: ObjectRevision,
 }
 
-/// One object with its revision, as queries show it.
+/// One object with its revision, as returned by queries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObjectView {
-    /// Its kind.
+    /// The object's kind.
     pub kind: ObjectKind,
-    /// Its name.
+    /// The object's name.
     pub name: String,
-    /// The team that owns it.
+    /// The team that owns the object.
     pub team: TeamId,
-    /// Its revision.
+    /// The object's revision.
     pub revision: ObjectRevision,
-    /// Its content.
+    /// The object's content.
     pub spec: ObjectSpec,
 }
 
-/// The answer of `GET /v1/objects`.
+/// The answer to `GET /v1/objects`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObjectList {
-    /// The configuration's revision that the list shows.
+    /// The configuration's revision that the list reflects.
     pub config_revision: ObjectRevision,
     /// The objects.
     pub objects: Vec<ObjectView>,
@@ -248,30 +251,30 @@
 /// One entry of the audit trail.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditRecord {
-    /// Its position, counted from 1.
+    /// The position of the record, counted from 1.
     pub sequence: u64,
-    /// When the leader proposed it, in milliseconds of Unix time.
+    /// The time at which the leader proposed the change, in milliseconds of Unix time.
     pub unix_ms: u64,
-    /// The team or instance that asked for it.
+    /// The team or instance that requested the change.
     pub actor: String,
-    /// What was asked.
+    /// The requested operation.
     pub action: String,
-    /// The content before, as JSON, with keys hashed; empty where there was none.
+    /// The object's content before the change, as JSON with hashed keys; empty if there was none.
     pub before: String,
-    /// The content after, likewise.
+    /// The object's content after the change, in the same form.
     pub after: String,
-    /// The configuration's revision after it.
+    /// The configuration's revision after the change.
     pub config_revision: ObjectRevision,
-    /// `accepted`, or the code of the refusal.
+    /// `accepted`, or the error code of the refusal.
     pub verdict: String,
-    /// The reason given.
+    /// The reason that the operator gave.
     pub reason: String,
     /// SHA-256 over the previous record's hash and this record.
     pub hash: String,
 }
 
 impl AuditRecord {
-    /// Computes the hash that the record must carry after `previous`.
+    /// Computes the hash that the record must have if the previous record's hash is `previous`.
     pub fn expected_hash(&self, previous: &str) -> String {
         let fields = (
             previous,
@@ -284,26 +287,26 @@
             &self.verdict,
             &self.reason,
         );
-        let text = serde_json::to_string(&fields).expect("plain fields always serialise");
+        let text = serde_json::to_string(&fields).expect("strings and integers always serialise");
         crate::digest::sha256_hex(text.as_bytes())
     }
 }
 
-/// The answer of `GET /v1/audit`.
+/// The answer to `GET /v1/audit`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditTrailView {
-    /// The hash before the first record shown.
+    /// The hash of the record before the first record of the list.
     pub anchor: String,
     /// The records, oldest first.
     pub records: Vec<AuditRecord>,
 }
 
 impl AuditTrailView {
-    /// Checks the chain of hashes.
+    /// Verifies the chain of hashes.
     ///
     /// # Errors
     ///
-    /// Returns the sequence number of the first record that does not follow its predecessor.
+    /// Returns the sequence number of the first record whose hash does not continue the chain.
     pub fn verify(&self) -> Result<(), u64> {
         let mut previous = self.anchor.clone();
         for record in &self.records {
@@ -316,55 +319,55 @@
     }
 }
 
-/// The state of an endpoint in the eyes of its home.
+/// The state of an endpoint as recorded by its home.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EndpointState {
-    /// Announced; its held streams are not known yet.
+    /// The endpoint is announced, but its held streams are not known yet.
     Joining,
-    /// Takes work.
+    /// The endpoint accepts work.
     Live,
-    /// Heartbeats are late; takes no new work.
+    /// Heartbeats are overdue; the endpoint gets no new work.
     Suspect,
-    /// Said that it leaves; takes no new work.
+    /// The endpoint reported that it is leaving and gets no new work.
     Leaving,
 }
 
-/// One endpoint, as its home sees it.
+/// One endpoint, as recorded by its home.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointView {
-    /// The endpoint.
+    /// The id of the endpoint.
     pub endpoint: EndpointId,
-    /// Its state.
+    /// The state of the endpoint.
     pub state: EndpointState,
-    /// Memory in the ledger.
+    /// The memory that the home has granted, according to its ledger of leases.
     pub held: TokenCount,
-    /// All its memory.
+    /// The total memory of the endpoint.
     pub memory: TokenCount,
-    /// Memory that it reports and no lease explains.
+    /// The memory that the endpoint reports as held without a matching lease in the ledger.
     pub unexplained: TokenCount,
 }
 
-/// One daemon, as the leader sees it.
+/// One daemon, as recorded by the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberView {
-    /// The instance.
+    /// The id of the instance.
     pub instance: InstanceId,
-    /// Its data centre.
+    /// The data centre of the instance.
     pub data_centre: DataCentreId,
-    /// Whether it is draining.
+    /// Whether the daemon is draining.
     pub draining: bool,
-    /// Its address for operators.
+    /// The daemon's address for operators.
     pub operators: SocketAddr,
-    /// The configuration's revision in force there, as it last reported; absent where it has
-    /// not reported to this leader yet.
+    /// The configuration's revision in force at the daemon, as last reported; absent if the daemon
+    /// has not reported to this leader yet.
     pub applied: Option<ObjectRevision>,
 }
 
-/// The answer of `GET /v1/status`.
+/// The answer to `GET /v1/status`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusAnswer {
-    /// The daemon that answers.
+    /// The instance of the daemon that answers.
     pub instance: InstanceId,
     /// The leader, if one is known.
     pub leader: Option<InstanceId>,
@@ -372,43 +375,43 @@
     pub term: LeaderTerm,
     /// The instances that vote in the replicated log.
     pub voters: Vec<InstanceId>,
-    /// The instances that are catching up to vote.
+    /// The instances that replicate the log in preparation for voting.
     pub learners: Vec<InstanceId>,
-    /// The log index applied here.
+    /// The index of the last log entry that this daemon applied.
     pub applied_index: LogIndex,
-    /// The configuration's revision in force here.
+    /// The configuration's revision in force at this daemon.
     pub config_revision: ObjectRevision,
     /// The daemons.
     pub members: Vec<MemberView>,
-    /// The endpoints whose home is here.
+    /// The endpoints whose home is this daemon.
     pub endpoints: Vec<EndpointView>,
-    /// Requests running through here.
+    /// The number of requests running through this daemon.
     pub running: u64,
 }
 
-/// The answer of `GET /v1/in-force`.
+/// The answer to `GET /v1/in-force`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InForceAnswer {
-    /// The revision asked about.
+    /// The revision that the query named.
     pub config_revision: ObjectRevision,
-    /// Whether every member has it in force.
+    /// Whether all members have the revision in force.
     pub everywhere: bool,
-    /// The members that have not.
+    /// The members that do not have the revision in force.
     pub lagging: Vec<InstanceId>,
 }
 
-/// `POST /v1/voters`: which instances should hold the log.
+/// The body of `POST /v1/voters`: the instances that should replicate the log as voters.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VotersCall {
-    /// The instances; an odd number of them.
+    /// The instances; their number must be odd.
     pub wanted: Vec<InstanceId>,
 }
 
-/// `POST /v1/drain`: let a daemon leave gracefully.
+/// The body of `POST /v1/drain`: makes a daemon leave gracefully.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DrainCall {
-    /// The instance that is to leave.
+    /// The instance whose daemon should leave.
     pub instance: InstanceId,
 }
--- a/crates/schema/src/routes.rs
+++ b/crates/schema/src/routes.rs
@@ -1,15 +1,15 @@
-//! Every call of the three listeners.
+//! The HTTP routes of the three listeners.
 
 use std::fmt;
 
-/// Who uses a listener.
+/// The listener that serves a route, named after its clients.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RouteListener {
-    /// Callers.
+    /// The listener for callers.
     Callers,
-    /// Endpoints.
+    /// The listener for endpoints.
     Endpoints,
-    /// Operators.
+    /// The listener for operators.
     Operators,
 }
 
@@ -23,16 +23,16 @@
     }
 }
 
-/// One call.
+/// The route of one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ApiRoute {
-    /// Who makes it.
+    /// The listener that serves the route.
     pub listener: RouteListener,
-    /// Its method.
+    /// The HTTP method.
     pub method: &'static str,
-    /// Its path as the schema writes it, with parameters in braces.
+    /// The path in the notation of the OpenAPI description, with parameters in braces.
     pub path: &'static str,
-    /// Its path as the router writes it.
+    /// The path in the notation of the router.
     pub pattern: &'static str,
 }
 
@@ -45,13 +45,13 @@
             pattern: $pattern,
         };)*
 
-        /// All calls.
+        /// All routes.
         pub const ROUTES: &[ApiRoute] = &[$($name),*];
     };
 }
 
 routes! {
-    /// Which addresses to use.
+    /// Lists the addresses that callers should use.
     ADDRESSES = Callers "GET" "/v1/addresses" "/v1/addresses";
     /// Completes a prompt.
     COMPLETIONS = Callers "POST" "/v1/completions" "/v1/completions";
@@ -59,36 +59,36 @@
     CHAT_COMPLETIONS = Callers "POST" "/v1/chat/completions" "/v1/chat/completions";
     /// Calls a plain service.
     SERVICES = Callers "POST" "/v1/services/{service}/{path}" "/v1/services/*";
-    /// An endpoint makes itself known.
+    /// Registers an endpoint.
     ANNOUNCE = Endpoints "POST" "/v1/endpoints/announce" "/v1/endpoints/announce";
-    /// An endpoint is alive.
+    /// Reports that an endpoint is alive.
     HEARTBEAT = Endpoints "POST" "/v1/endpoints/heartbeat" "/v1/endpoints/heartbeat";
-    /// An engine's prefix cache changed.
+    /// Reports changes of an engine's prefix cache.
     CACHE_EVENTS = Endpoints "POST" "/v1/endpoints/cache-events" "/v1/endpoints/cache-events";
-    /// An endpoint leaves.
+    /// Reports that an endpoint is leaving.
     LEAVE = Endpoints "POST" "/v1/endpoints/leave" "/v1/endpoints/leave";
-    /// Whether the process runs.
+    /// Reports whether the process is running.
     LIVE = Operators "GET" "/health/live" "/health/live";
-    /// Whether it serves.
+    /// Reports whether the daemon is ready to serve.
     READY = Operators "GET" "/health/ready" "/health/ready";
-    /// Counters and gauges.
+    /// Returns counters and gauges.
     METRICS = Operators "GET" "/metrics" "/metrics";
-    /// The schema.
+    /// Returns the OpenAPI description.
     SCHEMA = Operators "GET" "/v1/schema" "/v1/schema";
-    /// Lists objects.
+    /// Lists configuration objects.
     OBJECTS = Operators "GET" "/v1/objects" "/v1/objects";
-    /// Shows one object.
+    /// Returns one configuration object.
     OBJECT = Operators "GET" "/v1/objects/{kind}/{name}" "/v1/objects/*";
-    /// The state of the system.
+    /// Returns the state of the system.
     STATUS = Operators "GET" "/v1/status" "/v1/status";
-    /// Whether a revision is in force everywhere.
+    /// Reports whether a configuration revision is in force at all members.
     IN_FORCE = Operators "GET" "/v1/in-force" "/v1/in-force";
-    /// The audit trail.
+    /// Returns the audit trail.
     AUDIT = Operators "GET" "/v1/audit" "/v1/audit";
     /// Changes the configuration.
     CHANGES = Operators "POST" "/v1/changes" "/v1/changes";
-    /// Lets a daemon leave.
+    /// Makes a daemon leave gracefully.
     DRAIN = Operators "POST" "/v1/drain" "/v1/drain";
-    /// Says which instances should hold the log.
+    /// Sets the instances that should replicate the log as voters.
     VOTERS = Operators "POST" "/v1/voters" "/v1/voters";
 }
