--- a/crates/schema/tests/openapi.rs
+++ b/crates/schema/tests/openapi.rs
@@ -1,4 +1,4 @@
-//! Holds the schema file and the types to each other, both ways.
+//! Compares the OpenAPI description with the types, in both directions.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -33,8 +33,9 @@
     "x-1".parse().expect("a valid id")
 }
 
+/// A route that is missing in the OpenAPI description, or described but not served, fails the test.
 #[test]
-fn the_routes_are_those_of_the_schema() {
+fn routes_match_openapi_description() {
     let schema = schema();
     let mut described = BTreeSet::new();
     for (path, operations) in schema["paths"].as_object().expect("paths") {
@@ -50,8 +51,9 @@
     assert_eq!(served, described);
 }
 
+/// Codes, statuses, remedies and the order of the codes must agree with the OpenAPI description.
 #[test]
-fn the_error_codes_are_those_of_the_schema() {
+fn error_codes_match_openapi_description() {
     let schema = schema();
     let described = &schema["components"]["schemas"]["ErrorCode"];
     let names: Vec<&str> = ErrorCode::ALL.iter().map(|code| code.as_str()).collect();
@@ -62,20 +64,20 @@
         assert_eq!(described["x-statuses"][code.as_str()], code.status(), "{code}");
         assert_eq!(described["x-remedies"][code.as_str()], code.remedy(), "{code}");
         let json = serde_json::to_string(code).expect("a code");
-        assert_eq!(json, format!("\"{code}\""), "the code's two spellings differ");
+        assert_eq!(json, format!("\"{code}\""), "`Display` and the JSON form of the code differ");
     }
 }
 
-/// The fields of every message as this program writes them.
-fn written() -> BTreeMap<&'static str, BTreeSet<String>> {
+/// Returns the names of the fields that each message has when it is serialised.
+fn serialised_fields() -> BTreeMap<&'static str, BTreeSet<String>> {
     let mut all: BTreeMap<&'static str, BTreeSet<String>> = BTreeMap::new();
     let mut add = |name: &'static str, value: Value| {
         let fields = value.as_object().expect("an object").keys().cloned();
         all.entry(name).or_default().extend(fields);
     };
-    callers(&mut add);
-    endpoints(&mut add);
-    operators(&mut add);
+    add_caller_messages(&mut add);
+    add_endpoint_messages(&mut add);
+    add_operator_messages(&mut add);
     all
 }
 
@@ -83,7 +85,7 @@
     serde_json::to_value(value).expect("a message")
 }
 
-fn callers(add: &mut impl FnMut(&'static str, Value)) {
+fn add_caller_messages(add: &mut impl FnMut(&'static str, Value)) {
     let options = CompletionOptions {
         model: id(),
         max_tokens: Some(1),
@@ -101,7 +103,7 @@
     let choice = CompletionChoice { index: 0, text: "x".into(), finish_reason: None };
     let usage = TokenUsage { prompt_tokens: TokenCount(1), completion_tokens: TokenCount(1) };
     let proof = AnswerProof { digest: "d".into(), attempts: 1, ran: RanState::Yes, kept: false };
-    chats(add, &usage, &proof);
+    add_chat_messages(add, &usage, &proof);
     add("CompletionChoice", json(&choice));
     add("TokenUsage", json(&usage));
     add("AnswerProof", json(&proof));
@@ -128,7 +130,11 @@
     add("ErrorBody", json(&ErrorBody { error }));
 }
 
-fn chats(add: &mut impl FnMut(&'static str, Value), usage: &TokenUsage, proof: &AnswerProof) {
+fn add_chat_messages(
+    add: &mut impl FnMut(&'static str, Value),
+    usage: &TokenUsage,
+    proof: &AnswerProof,
+) {
     let (role, content) = ("assistant".to_owned(), "hi".to_owned());
     let delta = ChatDelta { role: role.clone(), content: content.clone() };
     add("ChatDelta", json(&delta));
@@ -152,7 +158,7 @@
     );
 }
 
-fn endpoints(add: &mut impl FnMut(&'static str, Value)) {
+fn add_endpoint_messages(add: &mut impl FnMut(&'static str, Value)) {
     let address = "127.0.0.1:1".parse().expect("an address");
     let engine = EndpointKind::Engine {
         models: vec![id()],
@@ -204,7 +210,7 @@
     add("EndpointLeave", json(&EndpointLeave { endpoint: id(), incarnation: Incarnation(1) }));
 }
 
-fn operators(add: &mut impl FnMut(&'static str, Value)) {
+fn add_operator_messages(add: &mut impl FnMut(&'static str, Value)) {
     let keys = vec![KeyHash::of("k")];
     let team = TeamSpec { keys: keys.clone(), admin: true };
     add("TeamSpec", json(&team));
@@ -309,8 +315,9 @@
     add("VotersCall", json(&VotersCall { wanted: vec![id()] }));
 }
 
+/// A field that is only in the Rust type or only in the OpenAPI description fails the test.
 #[test]
-fn the_fields_are_those_of_the_schema() {
+fn message_fields_match_openapi_description() {
     let schema = schema();
     let described: BTreeMap<&str, BTreeSet<String>> = schema["components"]["schemas"]
         .as_object()
@@ -321,11 +328,12 @@
             Some((name.as_str(), properties.keys().cloned().collect()))
         })
         .collect();
-    assert_eq!(written(), described);
+    assert_eq!(serialised_fields(), described);
 }
 
+/// Every `$ref` must name a schema that exists.
 #[test]
-fn every_reference_of_the_schema_leads_somewhere() {
+fn openapi_references_resolve() {
     let schema = schema();
     let known = schema["components"]["schemas"].as_object().expect("schemas");
     let mut pending = vec![&schema];
@@ -334,7 +342,7 @@
             Value::Object(fields) => {
                 if let Some(target) = fields.get("$ref").and_then(Value::as_str) {
                     let name = target.rsplit('/').next().unwrap_or_default();
-                    assert!(known.contains_key(name), "{target} leads nowhere");
+                    assert!(known.contains_key(name), "{target} names no schema");
                 }
                 pending.extend(fields.values());
             }
