--- a/crates/standin/src/engine_server.rs
+++ b/crates/standin/src/engine_server.rs
@@ -282,7 +282,7 @@
         return failed_line(&call.attempt, false, &message);
     }
     shared.work.notify_one();
-    if FaultPlan::strike(&shared.faults.run_silently) {
+    if FaultPlan::strike(&shared.faults.run_without_answer) {
         return whole(500, "");
     }
     let state = AnswerState {
@@ -316,18 +316,18 @@
 
 struct AnswerFaults {
     truncate: bool,
-    cross: bool,
-    double: bool,
-    break_off: bool,
+    wrong_attempt_id: bool,
+    duplicate_token: bool,
+    disconnect: bool,
 }
 
 impl AnswerFaults {
     fn draw(plan: &FaultPlan) -> Self {
         Self {
             truncate: FaultPlan::strike(&plan.truncate),
-            cross: FaultPlan::strike(&plan.cross),
-            double: FaultPlan::strike(&plan.double),
-            break_off: FaultPlan::strike(&plan.break_off),
+            wrong_attempt_id: FaultPlan::strike(&plan.wrong_attempt_id),
+            duplicate_token: FaultPlan::strike(&plan.duplicate_token),
+            disconnect: FaultPlan::strike(&plan.disconnect),
         }
     }
 }
@@ -362,16 +362,16 @@
             return Some(Ok(line));
         };
         let half = self.max_tokens / 2;
-        if self.faults.break_off && *index >= half {
+        if self.faults.disconnect && *index >= half {
             return Some(Err(io::Error::other("broken on cue")));
         }
         if self.faults.truncate && *index + 1 == self.max_tokens {
             return Box::pin(self.next_line()).await;
         }
-        if *index == half && std::mem::take(&mut self.faults.double) {
+        if *index == half && std::mem::take(&mut self.faults.duplicate_token) {
             self.pending = Some(line.clone());
         }
-        if *index == half && std::mem::take(&mut self.faults.cross) {
+        if *index == half && std::mem::take(&mut self.faults.wrong_attempt_id) {
             let attempt = "somebody-else".parse().expect("a valid id");
             let stray = StreamLine::Token { attempt, index: *index, text: text.clone() };
             self.pending = Some(line);
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -8,13 +8,13 @@
     /// Answers whose last token gets lost.
     pub truncate: AtomicU64,
     /// Answers that echo another attempt's id for one token.
-    pub cross: AtomicU64,
+    pub wrong_attempt_id: AtomicU64,
     /// Answers in which one token comes twice.
-    pub double: AtomicU64,
+    pub duplicate_token: AtomicU64,
     /// Answers whose connection breaks half-way.
-    pub break_off: AtomicU64,
+    pub disconnect: AtomicU64,
     /// Calls that are run and never answered.
-    pub run_silently: AtomicU64,
+    pub run_without_answer: AtomicU64,
     /// Calls that are refused without being run.
     pub refuse: AtomicU64,
     /// Whether the load reports stop.
--- a/crates/standin/src/service_server.rs
+++ b/crates/standin/src/service_server.rs
@@ -142,11 +142,11 @@
     shared.ledger().push(ServiceRun { attempt: attempt.clone(), body: body.clone() });
     let delay = *shared.delay.lock().expect("no handler panics with the delay");
     tokio::time::sleep(delay).await;
-    if FaultPlan::strike(&shared.faults.run_silently) {
+    if FaultPlan::strike(&shared.faults.run_without_answer) {
         // The connection is held and never answered, as by a service that died after acting.
         std::future::pending::<()>().await;
     }
-    let echoed = match FaultPlan::strike(&shared.faults.cross) {
+    let echoed = match FaultPlan::strike(&shared.faults.wrong_attempt_id) {
         true => "somebody-else",
         false => &attempt,
     };
--- a/crates/testbed/tests/whole_path.rs
+++ b/crates/testbed/tests/whole_path.rs
@@ -157,8 +157,8 @@
             fleet.engines.iter().for_each(|e| fault(e.faults()).store(1, Ordering::SeqCst));
         };
     // Crossed and doubled pieces are dropped; the answer is still whole.
-    strike_all(|f| &f.cross);
-    strike_all(|f| &f.double);
+    strike_all(|f| &f.wrong_attempt_id);
+    strike_all(|f| &f.duplicate_token);
     for seed in 10..16 {
         complete(&fleet, &call(seed, 500, 20)).await.expect("a whole answer");
     }
@@ -168,13 +168,13 @@
     assert_eq!((error.code, error.ran), (ErrorCode::EndpointFailed, RanState::Yes));
     fleet.engines.iter().for_each(|e| e.faults().truncate.store(0, Ordering::SeqCst));
     // A stream that breaks goes on, on another engine, at the exact token.
-    fleet.engines[0].faults().break_off.store(1, Ordering::SeqCst);
-    fleet.engines[1].faults().break_off.store(1, Ordering::SeqCst);
-    fleet.engines[2].faults().break_off.store(1, Ordering::SeqCst);
+    fleet.engines[0].faults().disconnect.store(1, Ordering::SeqCst);
+    fleet.engines[1].faults().disconnect.store(1, Ordering::SeqCst);
+    fleet.engines[2].faults().disconnect.store(1, Ordering::SeqCst);
     let reply = complete(&fleet, &call(21, 500, 20)).await.expect("resumed");
     assert!(reply.attempts > 1, "the fault was never met");
     // A refusal moves on to another engine.
-    fleet.engines.iter().for_each(|e| e.faults().break_off.store(0, Ordering::SeqCst));
+    fleet.engines.iter().for_each(|e| e.faults().disconnect.store(0, Ordering::SeqCst));
     fleet.engines[0].faults().refuse.store(1, Ordering::SeqCst);
     fleet.engines[1].faults().refuse.store(1, Ordering::SeqCst);
     complete(&fleet, &call(22, 500, 20)).await.expect("a whole answer");
@@ -293,7 +293,7 @@
     let _one = ONE_FLEET.lock().await;
     let fleet = Fleet::start(FleetPlan::default()).await.expect("a fleet");
     let service = &fleet.services[0];
-    service.faults().cross.store(1, Ordering::SeqCst);
+    service.faults().wrong_attempt_id.store(1, Ordering::SeqCst);
     let first =
         caller().call_service(fleet.callers(0), SERVICE, "payout 1", Some("payout-1")).await;
     let Err(CallerError::Api(error)) = first else { panic!("{first:?}") };
