--- a/crates/daemon/tests/processes.rs
+++ b/crates/daemon/tests/processes.rs
@@ -138,7 +138,7 @@
             prompt: oriolepass_schema::caller::PromptBody::Tokens(vec![seed; 300]),
             max_tokens: 8,
             deadline: Duration::from_secs(20),
-            once: None,
+            caller_key: None,
         };
         let caller = TestCaller::new(ACCOUNT_KEY);
         let mut last = None;
--- a/crates/standin/src/caller.rs
+++ b/crates/standin/src/caller.rs
@@ -61,7 +61,7 @@
     /// The time allowed.
     pub deadline: Duration,
     /// The caller key of a request that must not be repeated.
-    pub once: Option<String>,
+    pub caller_key: Option<String>,
 }
 
 /// A caller with the key of an account.
@@ -161,7 +161,7 @@
         reader.finish(call, started)
     }
 
-    /// Calls a plain service; `once` is the caller key of a call that must not be repeated.
+    /// Calls a plain service; `caller_key` is the caller key of a call that must not be repeated.
     ///
     /// # Errors
     ///
@@ -171,11 +171,11 @@
         address: SocketAddr,
         service: &str,
         body: &str,
-        once: Option<&str>,
+        caller_key: Option<&str>,
     ) -> Result<ServiceReply, CallerError> {
         let mut headers =
-            vec![("x-oriolepass-repeatable", if once.is_some() { "no" } else { "yes" })];
-        headers.extend(once.map(|key| ("x-oriolepass-caller-key", key)));
+            vec![("x-oriolepass-repeatable", if caller_key.is_some() { "no" } else { "yes" })];
+        headers.extend(caller_key.map(|key| ("x-oriolepass-caller-key", key)));
         let path = format!("/v1/services/{service}");
         let sent =
             send(&self.client, address, "POST", &path, Some(&self.key), &headers, body.to_owned());
@@ -202,7 +202,7 @@
         "stream": stream,
         "deadline_ms": u64::try_from(call.deadline.as_millis()).unwrap_or(u64::MAX),
     });
-    if let Some(key) = &call.once {
+    if let Some(key) = &call.caller_key {
         body["repeatable"] = false.into();
         body["caller_key"] = key.as_str().into();
     }
--- a/crates/testbed/examples/demo.rs
+++ b/crates/testbed/examples/demo.rs
@@ -42,7 +42,7 @@
                 prompt: text_prompt(seed, tokens),
                 max_tokens: answer,
                 deadline: Duration::from_secs(60),
-                once: None,
+                caller_key: None,
             };
             let delay = Duration::from_millis(number * 3_000 / count);
             tasks.spawn(async move {
--- a/crates/testbed/examples/path_bench.rs
+++ b/crates/testbed/examples/path_bench.rs
@@ -31,7 +31,7 @@
         prompt: text_prompt(seed, tokens),
         max_tokens: answer,
         deadline: Duration::from_secs(120),
-        once: None,
+        caller_key: None,
     }
 }
 
--- a/crates/testbed/examples/soak.rs
+++ b/crates/testbed/examples/soak.rs
@@ -226,7 +226,7 @@
             prompt: text_prompt(seed, tokens),
             max_tokens: 40,
             deadline: Duration::from_secs(30),
-            once: None,
+            caller_key: None,
         };
         let address = callers[seed as usize % callers.len()];
         match caller.complete(address, &call).await {
--- a/crates/testbed/tests/failures.rs
+++ b/crates/testbed/tests/failures.rs
@@ -30,7 +30,7 @@
         prompt: text_prompt(seed, 500),
         max_tokens: answer,
         deadline: Duration::from_secs(30),
-        once: None,
+        caller_key: None,
     }
 }
 
--- a/crates/testbed/tests/whole_path.rs
+++ b/crates/testbed/tests/whole_path.rs
@@ -21,7 +21,7 @@
         prompt: text_prompt(seed, tokens),
         max_tokens: answer,
         deadline: Duration::from_secs(60),
-        once: None,
+        caller_key: None,
     }
 }
 
@@ -332,7 +332,7 @@
     let _one = ONE_FLEET.lock().await;
     let fleet = Fleet::start(FleetPlan::default()).await.expect("a fleet");
     let mut once = call(400, 1_000, 12);
-    once.once = Some("summary-400".to_owned());
+    once.caller_key = Some("summary-400".to_owned());
     complete(&fleet, &once).await.expect("a whole answer");
     let again = caller().complete(fleet.callers(2), &once).await.expect("the kept answer");
     assert_eq!(again.attempts, 0, "a kept answer needs no attempt");
