--- a/crates/standin/src/announcer.rs
+++ b/crates/standin/src/announcer.rs
@@ -1,4 +1,5 @@
-//! How a stand-in endpoint makes itself known.
+//! Announces a stand-in endpoint to its home, the daemon that schedules the endpoint, and sends
+//! heartbeats and cache events.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,18 +14,18 @@
 use crate::faults::FaultPlan;
 use crate::http::{HttpClient, client, send};
 
-/// Where and how to announce.
+/// Where and how an endpoint announces itself.
 #[derive(Debug, Clone)]
 pub struct AnnouncePlan {
-    /// Addresses of daemons for endpoints; any of them tells the home.
+    /// Endpoint-facing addresses of daemons. Each daemon can name the endpoint's home.
     pub daemons: Vec<SocketAddr>,
     /// The pool's key.
     pub key: String,
-    /// How late cache events are.
+    /// Delay before cache events are sent.
     pub cache_lag: Duration,
 }
 
-/// What an announcer reports.
+/// The load that a heartbeat reports, and the cache changes since the last report.
 pub(crate) struct LoadReport {
     pub(crate) used: oriolepass_units::TokenCount,
     pub(crate) backlog: oriolepass_units::TokenCount,
@@ -32,7 +33,7 @@
     pub(crate) cache: Vec<CacheChange>,
 }
 
-/// Announces an endpoint and keeps reporting until the task is aborted.
+/// Announces an endpoint and reports its load until the task is aborted.
 pub(crate) async fn run(
     plan: AnnouncePlan,
     announcement: impl Fn() -> EndpointAnnouncement + Send + 'static,
@@ -43,27 +44,28 @@
         client: client(),
         plan,
         home: None,
-        attempt: 0,
+        next_daemon: 0,
         cache_sequence: 0,
         last_heartbeat: None,
-        heartbeat: Duration::from_millis(100),
+        heartbeat_interval: Duration::from_millis(100),
     };
     loop {
-        if !faults.mute.load(Ordering::SeqCst) {
-            announcer.round(&announcement(), &report(), &faults).await;
+        if !faults.stop_reports.load(Ordering::SeqCst) {
+            announcer.report_once(&announcement(), &report(), &faults).await;
         }
-        tokio::time::sleep(announcer.heartbeat).await;
+        tokio::time::sleep(announcer.heartbeat_interval).await;
     }
 }
 
-/// Tells the home that an endpoint leaves.
+/// Sends the home a message that an endpoint is leaving.
 pub(crate) async fn leave(plan: &AnnouncePlan, announcement: &EndpointAnnouncement) {
     let body = EndpointLeave {
         endpoint: announcement.endpoint.clone(),
         incarnation: announcement.incarnation,
     };
-    let body = serde_json::to_string(&body).expect("a plain message");
-    // Whoever is not the home passes it on or says who is; telling all is simplest here.
+    let body = serde_json::to_string(&body).expect("the message serializes to JSON");
+    // A daemon that is not the home forwards the message or names the home. Sending the message to
+    // all daemons reaches the home without following redirects.
     for daemon in &plan.daemons {
         let path = "/v1/endpoints/leave";
         let _ = send(&client(), *daemon, "POST", path, Some(&plan.key), &[], body.clone()).await;
@@ -74,15 +76,15 @@
     client: HttpClient,
     plan: AnnouncePlan,
     home: Option<SocketAddr>,
-    attempt: usize,
+    next_daemon: usize,
     cache_sequence: u64,
-    /// When the last heartbeat that a home accepted was sent, unless it has let go since.
+    /// When the last accepted heartbeat was sent; none after a home has released the endpoint.
     last_heartbeat: Option<Instant>,
-    heartbeat: Duration,
+    heartbeat_interval: Duration,
 }
 
 impl Announcer {
-    async fn round(
+    async fn report_once(
         &mut self,
         announcement: &EndpointAnnouncement,
         report: &LoadReport,
@@ -99,7 +101,7 @@
             prefill_backlog: report.backlog,
             streams: report.streams,
         };
-        let body = serde_json::to_string(&heartbeat).expect("a plain message");
+        let body = serde_json::to_string(&heartbeat).expect("the message serializes to JSON");
         let sent = Instant::now();
         match self.post(home, "/v1/endpoints/heartbeat", body).await {
             Some(answer) if answer.accepted => self.last_heartbeat = Some(sent),
@@ -127,7 +129,7 @@
         }
         let first_sequence = self.cache_sequence;
         self.cache_sequence += report.cache.len() as u64;
-        if FaultPlan::strike(&faults.lose_cache_events) {
+        if FaultPlan::consume(&faults.lose_cache_events) {
             return;
         }
         let events = CacheEvents {
@@ -137,7 +139,7 @@
             changes: report.cache.clone(),
         };
         tokio::time::sleep(self.plan.cache_lag).await;
-        let body = serde_json::to_string(&events).expect("a plain message");
+        let body = serde_json::to_string(&events).expect("the message serializes to JSON");
         self.post(home, "/v1/endpoints/cache-events", body).await;
     }
 
@@ -146,10 +148,10 @@
         announcement.other_home_ms = self
             .last_heartbeat
             .map(|sent| u64::try_from(sent.elapsed().as_millis()).unwrap_or(u64::MAX));
-        let body = serde_json::to_string(&announcement).expect("a plain message");
-        let mut target = self.plan.daemons[self.attempt % self.plan.daemons.len()];
-        self.attempt += 1;
-        // The daemon asked first names the home; the second call reaches it.
+        let body = serde_json::to_string(&announcement).expect("the message serializes to JSON");
+        let mut target = self.plan.daemons[self.next_daemon % self.plan.daemons.len()];
+        self.next_daemon += 1;
+        // The first daemon names the home; the second call goes to the home.
         for _ in 0..2 {
             let path = "/v1/endpoints/announce";
             let key = Some(self.plan.key.as_str());
@@ -160,7 +162,7 @@
             let Ok(answer) = serde_json::from_str::<AnnouncementAnswer>(&answer.body) else {
                 return;
             };
-            self.heartbeat = Duration::from_millis(answer.heartbeat_ms.clamp(10, 10_000));
+            self.heartbeat_interval = Duration::from_millis(answer.heartbeat_ms.clamp(10, 10_000));
             match answer.home {
                 Some(home) if answer.accepted => {
                     self.home = Some(home);
--- a/crates/standin/src/caller.rs
+++ b/crates/standin/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that checks what it gets.
+//! A caller that checks the answers that it receives.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,57 +14,57 @@
 use crate::answer::answer_text;
 use crate::http::{HttpClient, client, request, send};
 
-/// Why a call did not bring a whole answer.
+/// Why a call returned no complete and correct answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallerError {
-    /// The system refused or failed it, and said so.
+    /// The system returned an error.
     Api(ApiError),
-    /// The connection broke or could not be made.
+    /// The connection could not be established, or broke.
     Connection(String),
-    /// The stream ended without its explicit end.
+    /// The stream stopped before its end marker.
     Truncated,
-    /// The answer is not the one to this prompt.
+    /// The answer does not belong to this prompt or cannot be parsed.
     Wrong(String),
 }
 
-/// A whole, checked answer.
+/// A complete answer that passed all checks.
 #[derive(Debug, Clone)]
 pub struct CallerReply {
-    /// From sending to the first token.
+    /// Time from sending the request to the first token.
     pub first_token: Duration,
-    /// From sending to the end.
+    /// Time from sending the request to the end of the answer.
     pub total: Duration,
     /// Tokens of the answer.
     pub tokens: u64,
-    /// How often the system tried it.
+    /// Number of attempts that the system made.
     pub attempts: u32,
 }
 
 /// A plain service's answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceReply {
-    /// The status.
+    /// The status code.
     pub status: u16,
     /// The body.
     pub body: String,
 }
 
-/// One prompt to send.
+/// A prompt to send.
 #[derive(Debug, Clone)]
 pub struct CompletionRequest {
     /// The model.
     pub model: String,
     /// The prompt.
     pub prompt: PromptBody,
-    /// Tokens of answer.
+    /// Maximum number of tokens in the answer.
     pub max_tokens: u64,
-    /// The time allowed.
+    /// The time allowed for the request.
     pub deadline: Duration,
-    /// The caller key of a request that must not be repeated.
+    /// The caller key, which marks the request as one that must not run twice.
     pub caller_key: Option<String>,
 }
 
-/// A caller with the key of an account.
+/// A caller with the API key of an account.
 #[derive(Clone)]
 pub struct TestCaller {
     client: HttpClient,
@@ -72,12 +72,12 @@
 }
 
 impl TestCaller {
-    /// Creates a caller.
+    /// Creates a caller that sends the given API key.
     pub fn new(key: &str) -> Self {
         Self { client: client(), key: key.to_owned() }
     }
 
-    /// Asks a daemon which addresses to use.
+    /// Fetches the addresses that callers can use from a daemon.
     ///
     /// # Errors
     ///
@@ -89,11 +89,11 @@
         serde_json::from_str(&answer.body).map_err(|_| api_error(&answer.body))
     }
 
-    /// Sends a prompt, reads the streamed answer and checks that it is whole and the right one.
+    /// Sends a prompt, reads the streamed answer and checks that it is complete and correct.
     ///
     /// # Errors
     ///
-    /// Returns why there is no such answer.
+    /// Returns an error when the call fails or the answer fails a check.
     pub async fn complete(
         &self,
         address: SocketAddr,
@@ -122,11 +122,11 @@
         reader.finish(call, started)
     }
 
-    /// Sends a prompt to an engine without any system between, as the baseline of the benches.
+    /// Sends a prompt directly to an engine, as the baseline of the benchmarks.
     ///
     /// # Errors
     ///
-    /// Returns why there is no whole answer.
+    /// Returns an error when the call fails or the answer fails a check.
     pub async fn complete_direct(
         &self,
         engine: SocketAddr,
@@ -145,7 +145,7 @@
             resume_text: String::new(),
             helpers: Vec::new(),
         };
-        let body = serde_json::to_string(&body).expect("a plain message");
+        let body = serde_json::to_string(&body).expect("the message serializes to JSON");
         let sent = request(engine, "POST", "/v1/attempts", None, &[], body);
         let connection = |error: String| CallerError::Connection(error);
         let response =
@@ -161,7 +161,7 @@
         reader.finish(call, started)
     }
 
-    /// Calls a plain service; `caller_key` is the caller key of a call that must not be repeated.
+    /// Calls a plain service. A `caller_key` marks the call as one that must not run twice.
     ///
     /// # Errors
     ///
@@ -190,7 +190,9 @@
 fn api_error(body: &str) -> CallerError {
     match serde_json::from_str::<ErrorBody>(body) {
         Ok(body) => CallerError::Api(body.error),
-        Err(_) => CallerError::Wrong(format!("neither an answer nor an error: {body:.200}")),
+        Err(_) => {
+            CallerError::Wrong(format!("response is neither an answer nor an error: {body:.200}"))
+        }
     }
 }
 
@@ -209,7 +211,7 @@
     body.to_string()
 }
 
-/// Reads an engine's own stream.
+/// Parses the event stream of an engine.
 #[derive(Default)]
 struct DirectReader {
     raw: Vec<u8>,
@@ -244,7 +246,7 @@
             return Err(CallerError::Truncated);
         }
         if self.text != answer_text(&call.prompt, call.max_tokens) {
-            return Err(CallerError::Wrong("another text".to_owned()));
+            return Err(CallerError::Wrong("answer text does not match the prompt".to_owned()));
         }
         Ok(CallerReply {
             first_token: self.first_token.unwrap_or_default(),
@@ -255,7 +257,7 @@
     }
 }
 
-/// Reads a stream of server-sent events.
+/// Parses the event stream of a completion.
 #[derive(Default)]
 struct StreamReader {
     raw: Vec<u8>,
@@ -311,15 +313,21 @@
             return Err(CallerError::Api(error));
         }
         let (true, Some(last)) = (self.done, self.last) else { return Err(CallerError::Truncated) };
-        let (usage, proof) = (last.usage.expect("checked"), last.oriolepass.expect("an end"));
+        let (usage, proof) = (
+            last.usage.expect("only an answer with usage is stored in last"),
+            last.oriolepass.expect("an answer with usage carries the digest"),
+        );
         if self.text != answer_text(&call.prompt, call.max_tokens) {
-            return Err(CallerError::Wrong(format!("another text: {:.60}", self.text)));
+            return Err(CallerError::Wrong(format!(
+                "answer text does not match the prompt: {:.60}",
+                self.text
+            )));
         }
         if proof.digest != sha256_hex(self.text.as_bytes()) {
-            return Err(CallerError::Wrong("another digest".to_owned()));
+            return Err(CallerError::Wrong("digest does not match the answer text".to_owned()));
         }
         if usage.completion_tokens.0 != call.max_tokens {
-            return Err(CallerError::Wrong("another token count".to_owned()));
+            return Err(CallerError::Wrong("token count differs from max_tokens".to_owned()));
         }
         Ok(CallerReply {
             first_token: self.first_token.unwrap_or_default(),
--- a/crates/standin/src/engine_model.rs
+++ b/crates/standin/src/engine_model.rs
@@ -1,8 +1,8 @@
-//! A model engine as a state machine.
+//! Simulates a model engine as a state machine.
 //!
-//! Each step processes one batch: every stream that decodes yields a token, and what is left of
-//! the batch's token budget goes to prefills, those with the higher priority first. The step
-//! takes as long as the cost model says; the caller waits that long before the next one.
+//! Each step processes one batch: every decoding stream produces a token, and the remaining token
+//! budget of the batch goes to prefills, the higher priority first. The cost model gives the
+//! duration of the step; the caller waits for that duration before the next step.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,26 +17,27 @@
 use crate::answer::{answer_seed, answer_token};
 use crate::prefix_cache::PrefixCache;
 
-/// The cost model and the limits of an engine.
+/// The cost model and limits of an engine.
 #[derive(Debug, Clone)]
 pub struct EngineConfig {
-    /// The models loaded at the start.
+    /// The models loaded at start.
     pub models: Vec<ModelId>,
-    /// Memory for KV cache.
+    /// Memory for the KV cache.
     pub memory: TokenCount,
-    /// Prompt tokens processed a second.
+    /// Prompt tokens processed per second.
     pub prefill_rate: TokenRate,
-    /// The time of a step with nothing in it.
+    /// Duration of a step with an empty batch.
     pub step_base: Duration,
-    /// Nanoseconds that a step takes longer for each thousand tokens of KV cache it reads.
+    /// Additional nanoseconds of a step for each thousand tokens of KV cache that the step reads.
     pub attention_nanos_per_k: u64,
-    /// Tokens that one step processes at most.
+    /// Maximum tokens that a step processes.
     pub step_tokens: u64,
-    /// Blocks of the prefix cache.
+    /// Capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with a fencing number below the highest seen are refused.
     pub fenced: bool,
-    /// Whether tokens are only counted, without text or digest, for long runs in manual time.
+    /// Whether tokens are only counted, without text or digest, for long runs in logical time. Only
+    /// the first token of an answer is then reported.
     pub counts_only: bool,
 }
 
@@ -56,25 +57,25 @@
     }
 }
 
-/// What a step did for one stream.
+/// A result of a step for one stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StepEvent {
-    /// It produced a token.
+    /// The stream produced a token.
     Token {
         /// The attempt.
         attempt: AttemptId,
-        /// The token's position.
+        /// The token's position in the answer.
         index: u64,
-        /// The token.
+        /// The token's text.
         text: String,
     },
-    /// It came to its end and holds nothing any more.
+    /// The stream ended and holds no memory any more.
     Ended {
         /// The attempt.
         attempt: AttemptId,
-        /// Tokens of the whole answer.
+        /// Number of tokens in the complete answer.
         tokens: u64,
-        /// SHA-256 of the whole answer.
+        /// SHA-256 of the complete answer.
         digest: String,
     },
 }
@@ -82,9 +83,9 @@
 /// The outcome of a step.
 #[derive(Debug, Default)]
 pub struct EngineStep {
-    /// What happened, in order.
+    /// The results for the streams, in order.
     pub events: Vec<StepEvent>,
-    /// How long the step takes.
+    /// Duration of the step.
     pub duration: Duration,
 }
 
@@ -98,14 +99,14 @@
     priority: u8,
     arrival: u64,
     reserved: TokenCount,
-    /// Engines that share the prefill, this one included.
-    group: u64,
+    /// Number of engines that share the prefill, this engine included.
+    group_size: u64,
     digest: AnswerDigest,
     prefix: Vec<PrefixHash>,
     context: u64,
 }
 
-/// What an engine did with one attempt, for the oracle.
+/// The record of one attempt, for the tests' oracle.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct EngineRun {
     pub(crate) prompt_seed: u64,
@@ -143,22 +144,23 @@
         }
     }
 
-    /// Returns the configuration; the models in it follow the orders.
+    /// Returns the configuration. Orders change the models in it.
     pub fn config(&self) -> &EngineConfig {
         &self.config
     }
 
-    /// Returns the memory in use.
+    /// Returns the reserved memory of streams and parts.
     pub fn used(&self) -> TokenCount {
         let streams: TokenCount = self.streams.iter().map(|stream| stream.reserved).sum();
         streams + self.parts.values().copied().sum()
     }
 
-    /// Takes an attempt in.
+    /// Starts an attempt.
     ///
     /// # Errors
     ///
-    /// Returns a message when the model is not loaded, memory is short, or the attempt is known.
+    /// Returns a message when the model is not loaded, the free memory is insufficient, or the
+    /// attempt is already present.
     pub fn submit(&mut self, call: &AttemptCall) -> Result<(), String> {
         if !self.config.models.contains(&call.model) {
             return Err(format!("model {} is not loaded", call.model));
@@ -181,7 +183,7 @@
             priority: call.priority,
             arrival: self.arrivals,
             reserved: call.reserved,
-            group: call.helpers.len() as u64 + 1,
+            group_size: call.helpers.len() as u64 + 1,
             digest,
             prefix,
             context: prompt_tokens,
@@ -190,11 +192,11 @@
         Ok(())
     }
 
-    /// Sets memory aside for a part of a prompt that another engine leads.
+    /// Reserves memory for a part of a prompt whose main engine is another engine.
     ///
     /// # Errors
     ///
-    /// Returns a message when memory is short or the attempt is known.
+    /// Returns a message when the free memory is insufficient or the attempt is already present.
     pub fn hold_part(&mut self, call: &PartCall) -> Result<(), String> {
         self.reserve(&call.attempt, call.reserved)?;
         self.parts.insert(call.attempt.clone(), call.reserved);
@@ -202,25 +204,27 @@
     }
 
     fn reserve(&self, attempt: &AttemptId, need: TokenCount) -> Result<(), String> {
-        let known = self.streams.iter().any(|s| s.attempt == *attempt);
-        if known || self.parts.contains_key(attempt) {
-            return Err(format!("attempt {attempt} is here already"));
+        let is_present = self.streams.iter().any(|s| s.attempt == *attempt);
+        if is_present || self.parts.contains_key(attempt) {
+            return Err(format!("attempt {attempt} is already present"));
         }
         let used = self.used();
         if used + need > self.config.memory {
-            return Err(format!("{need} tokens of memory asked, {used} of all in use"));
+            return Err(format!(
+                "not enough memory: {need} tokens requested, {used} tokens in use"
+            ));
         }
         Ok(())
     }
 
-    /// Drops an attempt or a part; returns whether there was one.
+    /// Cancels an attempt and its part. Returns whether either was present.
     pub fn cancel(&mut self, attempt: &AttemptId) -> bool {
         let before = self.streams.len();
         self.streams.retain(|stream| stream.attempt != *attempt);
         self.parts.remove(attempt).is_some() || self.streams.len() < before
     }
 
-    /// Lists everything that holds memory.
+    /// Returns the streams and parts that hold memory.
     pub fn held(&self) -> Vec<HeldStream> {
         let streams = self.streams.iter().map(|s| (&s.attempt, s.reserved));
         let parts = self.parts.iter().map(|(attempt, reserved)| (attempt, *reserved));
@@ -230,30 +234,31 @@
             .collect()
     }
 
-    /// Returns the prompt tokens that are accepted and not processed, and the streams.
+    /// Returns the prompt tokens that are accepted and not yet processed, and the number of
+    /// streams.
     pub fn load(&self) -> (TokenCount, u32) {
         let backlog = self.streams.iter().map(|stream| stream.prefill_left).sum();
         (TokenCount(backlog), u32::try_from(self.streams.len()).unwrap_or(u32::MAX))
     }
 
-    /// Returns whether there is nothing to do.
+    /// Returns whether the engine has no streams.
     pub fn is_idle(&self) -> bool {
         self.streams.is_empty()
     }
 
-    /// Takes the changes of the prefix cache since the last call.
+    /// Takes the changes of the prefix cache since the previous call.
     pub fn take_cache_changes(&mut self) -> Vec<CacheChange> {
         std::mem::take(&mut self.cache_changes)
     }
 
-    /// Takes a stream's state out of the engine.
+    /// Removes a stream and returns the size of its KV state.
     pub fn export(&mut self, attempt: &AttemptId) -> Option<TokenCount> {
         let position = self.streams.iter().position(|s| s.attempt == *attempt)?;
         let stream = self.streams.remove(position);
         Some(TokenCount(stream.context + stream.produced))
     }
 
-    /// Takes in a stream whose prompt another engine has processed.
+    /// Adds a stream whose prompt another engine has processed.
     ///
     /// # Errors
     ///
@@ -261,15 +266,16 @@
     pub fn import(&mut self, call: &AttemptCall) -> Result<(), String> {
         self.submit(call)?;
         let stream = self.streams.iter_mut().find(|s| s.attempt == call.attempt);
-        stream.expect("submitted above").prefill_left = 0;
+        stream.expect("submit adds the stream").prefill_left = 0;
         Ok(())
     }
 
-    /// Carries out an order.
+    /// Executes an order. Repeating an order changes no models.
     ///
     /// # Errors
     ///
-    /// Returns a message when the engine checks fencing numbers and this one is old.
+    /// Returns a message when the engine checks fencing numbers and the order's number is below the
+    /// highest seen.
     pub fn order(&mut self, order: &EndpointOrder) -> Result<(), String> {
         if self.config.fenced && order.fencing < self.highest_fencing {
             let highest = self.highest_fencing;
@@ -290,12 +296,12 @@
         Ok(())
     }
 
-    /// Returns how many attempts began here, and how many of them came to their end.
+    /// Returns the number of attempts that started and the number that ended.
     pub fn run_counts(&self) -> (usize, usize) {
         (self.runs.len(), self.runs.values().filter(|run| run.ended).count())
     }
 
-    /// Returns how many attempts with a prompt of this seed began here.
+    /// Returns the number of attempts that started with a prompt of this seed.
     pub fn runs_of(&self, prompt_seed: u64) -> usize {
         self.runs.values().filter(|run| run.prompt_seed == prompt_seed).count()
     }
@@ -307,7 +313,7 @@
         let mut context = 0;
         for stream in self.streams.iter_mut().filter(|stream| stream.prefill_left == 0) {
             budget = budget.saturating_sub(1);
-            context += (stream.context + stream.produced) / stream.group;
+            context += (stream.context + stream.produced) / stream.group_size;
             step.events.extend(stream.decode(self.config.counts_only));
         }
         let mut processed = 0;
@@ -315,18 +321,18 @@
             if budget == 0 {
                 break;
             }
-            // A group processes the prompt together, so each engine sees a part of it.
-            let share = (budget * stream.group).min(stream.prefill_left);
-            stream.prefill_left -= share;
-            let own = share.div_ceil(stream.group);
-            budget -= own.min(budget);
-            processed += own;
+            // The engines of a group process the prompt together, so each engine processes a part.
+            let group_tokens = (budget * stream.group_size).min(stream.prefill_left);
+            stream.prefill_left -= group_tokens;
+            let own_tokens = group_tokens.div_ceil(stream.group_size);
+            budget -= own_tokens.min(budget);
+            processed += own_tokens;
             if stream.prefill_left == 0 {
                 self.cache_changes.extend(self.cache.store(&stream.prefix));
             }
         }
         self.finish_streams(&mut step);
-        step.duration = self.step_time(processed, context);
+        step.duration = self.step_duration(processed, context);
         step
     }
 
@@ -346,7 +352,7 @@
         }
     }
 
-    fn step_time(&self, processed: u64, context: u64) -> Duration {
+    fn step_duration(&self, processed: u64, context: u64) -> Duration {
         let prefill = processed * 1_000_000_000 / self.config.prefill_rate.0.max(1);
         let attention = context * self.config.attention_nanos_per_k / 1_000;
         self.config.step_base + Duration::from_nanos(prefill + attention)
@@ -362,7 +368,7 @@
         if counts_only {
             self.produced += 1;
             let text = String::new();
-            // Only the first token is of interest.
+            // The experiments read only the time of the first token.
             return (index == 0).then(|| StepEvent::Token {
                 attempt: self.attempt.clone(),
                 index,
--- a/crates/standin/src/engine_server.rs
+++ b/crates/standin/src/engine_server.rs
@@ -1,4 +1,4 @@
-//! A stand-in engine behind the endpoints' HTTP protocol.
+//! Serves a stand-in engine over the endpoints' HTTP protocol.
 
 use std::collections::HashMap;
 use std::io;
@@ -24,15 +24,15 @@
 use crate::announcer::{self, AnnouncePlan, LoadReport};
 use crate::engine_model::{EngineConfig, EngineModel, StepEvent};
 use crate::faults::FaultPlan;
-use crate::http::{ServerBody, serve, whole};
+use crate::http::{ServerBody, full_response, serve};
 
-/// Lines that an answer may be ahead of its reader.
-const LINES_AHEAD: usize = 4_096;
+/// Maximum lines of an answer that wait for its reader. A stream with a full buffer is cancelled.
+const MAX_BUFFERED_LINES: usize = 4_096;
 
 struct EngineShared {
     model: Mutex<EngineModel>,
     readers: Mutex<HashMap<AttemptId, mpsc::Sender<StreamLine>>>,
-    work: Notify,
+    work_available: Notify,
     faults: Arc<FaultPlan>,
 }
 
@@ -49,7 +49,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the operating system's error when no port can be had.
+    /// Returns the operating system's error when no port can be bound.
     pub async fn start(
         endpoint: EndpointId,
         data_centre: DataCentreId,
@@ -74,7 +74,7 @@
         let shared = Arc::new(EngineShared {
             model: Mutex::new(EngineModel::new(config)),
             readers: Mutex::default(),
-            work: Notify::new(),
+            work_available: Notify::new(),
             faults: Arc::default(),
         });
         let handler_shared = Arc::clone(&shared);
@@ -84,42 +84,42 @@
         Ok(Self { shared, announcement, plan, tasks: vec![server, stepper, announcer] })
     }
 
-    /// Returns where it takes work.
+    /// Returns the address for calls.
     pub fn address(&self) -> SocketAddr {
         self.announcement.address
     }
 
-    /// Returns its id.
+    /// Returns the endpoint's name.
     pub fn endpoint(&self) -> &EndpointId {
         &self.announcement.endpoint
     }
 
-    /// Returns what it should do wrong.
+    /// Returns the faults to inject.
     pub fn faults(&self) -> &FaultPlan {
         &self.shared.faults
     }
 
-    /// Returns the memory in use.
+    /// Returns the reserved memory.
     pub fn used(&self) -> TokenCount {
         self.shared.model().used()
     }
 
-    /// Returns how many attempts began here, and how many of them came to their end.
+    /// Returns the number of attempts that started and the number that ended.
     pub fn run_counts(&self) -> (usize, usize) {
         self.shared.model().run_counts()
     }
 
-    /// Returns how often this prompt was begun here.
+    /// Returns the number of attempts with this prompt that started.
     pub fn runs_of(&self, prompt: &oriolepass_schema::caller::PromptBody) -> usize {
         self.shared.model().runs_of(crate::answer::answer_seed(prompt))
     }
 
-    /// Says that it takes no new work, and goes on with what it has.
+    /// Tells the home that the engine is leaving. Running streams continue.
     pub async fn leave(&self) {
         announcer::leave(&self.plan, &self.announcement).await;
     }
 
-    /// Dies at once, with every connection.
+    /// Stops the engine immediately and closes all connections, as a crash does.
     pub fn kill(&self) {
         self.tasks.iter().for_each(JoinHandle::abort);
     }
@@ -133,11 +133,11 @@
 
 impl EngineShared {
     fn model(&self) -> MutexGuard<'_, EngineModel> {
-        self.model.lock().expect("no handler panics while it holds the engine")
+        self.model.lock().expect("no handler panics while it holds the engine lock")
     }
 
     fn readers(&self) -> MutexGuard<'_, HashMap<AttemptId, mpsc::Sender<StreamLine>>> {
-        self.readers.lock().expect("no handler panics while it holds the readers")
+        self.readers.lock().expect("no handler panics while it holds the reader lock")
     }
 
     fn cancel(&self, attempt: &AttemptId) -> bool {
@@ -151,10 +151,10 @@
     announcement: EndpointAnnouncement,
     plan: AnnouncePlan,
 ) -> impl Future<Output = ()> + Send + 'static + use<> {
-    let (reporter, announcer) = (Arc::clone(shared), Arc::clone(shared));
+    let (reporting_engine, announcer) = (Arc::clone(shared), Arc::clone(shared));
     let faults = Arc::clone(&shared.faults);
     let report = move || {
-        let mut model = reporter.model();
+        let mut model = reporting_engine.model();
         let (backlog, streams) = model.load();
         LoadReport { used: model.used(), backlog, streams, cache: model.take_cache_changes() }
     };
@@ -168,12 +168,13 @@
     announcer::run(plan, announcement, report, faults)
 }
 
-/// Runs the engine's steps in real time, keeping to the schedule when a sleep takes too long.
+/// Runs the engine's steps in real time. A step's end is scheduled from the end of the step before,
+/// so that a late wake-up does not delay later steps; a delay above 50 ms is dropped.
 async fn run_steps(shared: Arc<EngineShared>) {
     let mut due = tokio::time::Instant::now();
     loop {
         if shared.model().is_idle() {
-            shared.work.notified().await;
+            shared.work_available.notified().await;
             due = tokio::time::Instant::now();
             continue;
         }
@@ -204,7 +205,7 @@
     let attempt = line.attempt().clone();
     let mut readers = shared.readers();
     let Some(reader) = readers.get(&attempt) else { return };
-    // A reader that has gone, or does not read, loses its stream.
+    // The stream is cancelled when the reader has disconnected or its buffer is full.
     let lost = reader.try_send(line).is_err();
     if lost || last {
         readers.remove(&attempt);
@@ -218,79 +219,85 @@
 async fn handle(shared: Arc<EngineShared>, request: Request<Incoming>) -> Response<ServerBody> {
     let path = request.uri().path().to_owned();
     match (request.method().clone(), path.as_str()) {
-        (Method::POST, "/v1/attempts") => match read::<AttemptCall>(request).await {
+        (Method::POST, "/v1/attempts") => match read_json::<AttemptCall>(request).await {
             Ok(call) => start_attempt(&shared, &call, EngineModel::submit),
             Err(answer) => answer,
         },
-        (Method::POST, "/v1/kv/import") => match read::<AttemptCall>(request).await {
+        (Method::POST, "/v1/kv/import") => match read_json::<AttemptCall>(request).await {
             Ok(call) => start_attempt(&shared, &call, EngineModel::import),
             Err(answer) => answer,
         },
-        (Method::POST, "/v1/kv/export") => match read::<PartCall>(request).await {
+        (Method::POST, "/v1/kv/export") => match read_json::<PartCall>(request).await {
             Ok(call) => match shared.model().export(&call.attempt) {
-                Some(size) => whole(200, format!("{{\"tokens\":{size}}}")),
-                None => whole(404, "no such stream"),
+                Some(size) => full_response(200, format!("{{\"tokens\":{size}}}")),
+                None => full_response(404, "no such stream"),
             },
             Err(answer) => answer,
         },
-        (Method::POST, "/v1/parts") => match read::<PartCall>(request).await {
-            Ok(call) => answer_unit(shared.model().hold_part(&call)),
+        (Method::POST, "/v1/parts") => match read_json::<PartCall>(request).await {
+            Ok(call) => unit_response(shared.model().hold_part(&call)),
             Err(answer) => answer,
         },
-        (Method::POST, "/v1/orders") => match read::<EndpointOrder>(request).await {
-            Ok(order) => answer_unit(shared.model().order(&order)),
+        (Method::POST, "/v1/orders") => match read_json::<EndpointOrder>(request).await {
+            Ok(order) => unit_response(shared.model().order(&order)),
             Err(answer) => answer,
         },
         (Method::GET, "/v1/streams") => {
             let held = HeldStreams { streams: shared.model().held() };
-            whole(200, serde_json::to_string(&held).expect("a plain message"))
+            full_response(
+                200,
+                serde_json::to_string(&held).expect("the message serializes to JSON"),
+            )
         }
         (Method::DELETE, _) if path.starts_with("/v1/streams/") => {
             let attempt = path["/v1/streams/".len()..].parse::<AttemptId>();
             let found = attempt.is_ok_and(|attempt| shared.cancel(&attempt));
-            whole(if found { 200 } else { 404 }, "")
+            full_response(if found { 200 } else { 404 }, "")
         }
-        _ => whole(404, "no such call"),
+        _ => full_response(404, "no such call"),
     }
 }
 
-async fn read<T: DeserializeOwned>(request: Request<Incoming>) -> Result<T, Response<ServerBody>> {
-    let bytes = request.into_body().collect().await.map_err(|e| whole(400, e.to_string()))?;
-    serde_json::from_slice(&bytes.to_bytes()).map_err(|e| whole(400, e.to_string()))
+async fn read_json<T: DeserializeOwned>(
+    request: Request<Incoming>,
+) -> Result<T, Response<ServerBody>> {
+    let bytes =
+        request.into_body().collect().await.map_err(|e| full_response(400, e.to_string()))?;
+    serde_json::from_slice(&bytes.to_bytes()).map_err(|e| full_response(400, e.to_string()))
 }
 
-fn answer_unit(result: Result<(), String>) -> Response<ServerBody> {
+fn unit_response(result: Result<(), String>) -> Response<ServerBody> {
     match result {
-        Ok(()) => whole(200, "{}"),
-        Err(message) => whole(409, message),
+        Ok(()) => full_response(200, "{}"),
+        Err(message) => full_response(409, message),
     }
 }
 
-/// Starts an attempt and streams its answer.
+/// Starts an attempt by `begin` and returns the stream of its answer.
 fn start_attempt(
     shared: &Arc<EngineShared>,
     call: &AttemptCall,
     begin: impl Fn(&mut EngineModel, &AttemptCall) -> Result<(), String>,
 ) -> Response<ServerBody> {
-    let (sender, receiver) = mpsc::channel(LINES_AHEAD);
-    if FaultPlan::strike(&shared.faults.refuse) {
-        return failed_line(&call.attempt, false, "refused on cue");
+    let (sender, receiver) = mpsc::channel(MAX_BUFFERED_LINES);
+    if FaultPlan::consume(&shared.faults.refuse) {
+        return failed_line(&call.attempt, false, "refused by fault injection");
     }
     shared.readers().insert(call.attempt.clone(), sender);
     if let Err(message) = begin(&mut shared.model(), call) {
         shared.readers().remove(&call.attempt);
         return failed_line(&call.attempt, false, &message);
     }
-    shared.work.notify_one();
-    if FaultPlan::strike(&shared.faults.run_without_answer) {
-        return whole(500, "");
+    shared.work_available.notify_one();
+    if FaultPlan::consume(&shared.faults.run_without_answer) {
+        return full_response(500, "");
     }
     let state = AnswerState {
         shared: Arc::clone(shared),
         attempt: call.attempt.clone(),
         receiver,
         max_tokens: call.max_tokens,
-        faults: AnswerFaults::draw(&shared.faults),
+        faults: AnswerFaults::take(&shared.faults),
         pending: None,
         ended: false,
     };
@@ -302,18 +309,20 @@
     Response::builder()
         .header("content-type", "text/event-stream")
         .body(body)
-        .expect("a plain response")
+        .expect("a valid response")
 }
 
 fn failed_line(attempt: &AttemptId, ran: bool, message: &str) -> Response<ServerBody> {
     let message = message.to_owned();
-    whole(200, encode(&StreamLine::Failed { attempt: attempt.clone(), ran, message }))
+    full_response(200, encode(&StreamLine::Failed { attempt: attempt.clone(), ran, message }))
 }
 
 fn encode(line: &StreamLine) -> Bytes {
-    format!("data: {}\n\n", serde_json::to_string(line).expect("a plain message")).into()
+    format!("data: {}\n\n", serde_json::to_string(line).expect("the message serializes to JSON"))
+        .into()
 }
 
+/// The faults to inject into one answer.
 struct AnswerFaults {
     truncate: bool,
     wrong_attempt_id: bool,
@@ -322,28 +331,30 @@
 }
 
 impl AnswerFaults {
-    fn draw(plan: &FaultPlan) -> Self {
+    fn take(plan: &FaultPlan) -> Self {
         Self {
-            truncate: FaultPlan::strike(&plan.truncate),
-            wrong_attempt_id: FaultPlan::strike(&plan.wrong_attempt_id),
-            duplicate_token: FaultPlan::strike(&plan.duplicate_token),
-            disconnect: FaultPlan::strike(&plan.disconnect),
+            truncate: FaultPlan::consume(&plan.truncate),
+            wrong_attempt_id: FaultPlan::consume(&plan.wrong_attempt_id),
+            duplicate_token: FaultPlan::consume(&plan.duplicate_token),
+            disconnect: FaultPlan::consume(&plan.disconnect),
         }
     }
 }
 
+/// The state of an answer's stream.
 struct AnswerState {
     shared: Arc<EngineShared>,
     attempt: AttemptId,
     receiver: mpsc::Receiver<StreamLine>,
     max_tokens: u64,
     faults: AnswerFaults,
+    /// A line to send before the next line of the receiver.
     pending: Option<StreamLine>,
     ended: bool,
 }
 
 impl Drop for AnswerState {
-    /// A reader that goes away takes its stream with it, as engines do.
+    /// Cancels the stream of a reader that disconnects, as engines do.
     fn drop(&mut self) {
         if !self.ended {
             self.shared.cancel(&self.attempt);
@@ -363,7 +374,7 @@
         };
         let half = self.max_tokens / 2;
         if self.faults.disconnect && *index >= half {
-            return Some(Err(io::Error::other("broken on cue")));
+            return Some(Err(io::Error::other("broken by fault injection")));
         }
         if self.faults.truncate && *index + 1 == self.max_tokens {
             return Box::pin(self.next_line()).await;
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -1,31 +1,33 @@
-//! Misbehaviour on cue.
+//! Fault injection for the stand-ins.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-/// What a stand-in should do wrong. All counts are of events still to come.
+/// The faults that a stand-in injects. Each count is the number of events still to be injected.
 #[derive(Debug, Default)]
 pub struct FaultPlan {
-    /// Answers whose last token gets lost.
+    /// Answers whose last token is dropped.
     pub truncate: AtomicU64,
-    /// Answers that echo another attempt's id for one token.
+    /// Engine answers with an additional token under another attempt's id, and service answers that
+    /// carry another attempt's id.
     pub wrong_attempt_id: AtomicU64,
-    /// Answers in which one token comes twice.
+    /// Answers in which one token is sent twice.
     pub duplicate_token: AtomicU64,
-    /// Answers whose connection breaks half-way.
+    /// Answers whose connection breaks once half of the tokens have been sent.
     pub disconnect: AtomicU64,
-    /// Calls that are run and never answered.
+    /// Calls that start and get no answer: an engine returns status 500 with an empty body, a service
+    /// runs the call and holds the connection open.
     pub run_without_answer: AtomicU64,
-    /// Calls that are refused without being run.
+    /// Calls that are refused without running.
     pub refuse: AtomicU64,
-    /// Whether the load reports stop.
-    pub mute: AtomicBool,
-    /// Cache events to be lost.
+    /// Whether announcements, heartbeats and cache events stop.
+    pub stop_reports: AtomicBool,
+    /// Messages of cache events that are dropped.
     pub lose_cache_events: AtomicU64,
 }
 
 impl FaultPlan {
-    /// Uses up one event of a kind; returns whether there was one.
-    pub(crate) fn strike(counter: &AtomicU64) -> bool {
+    /// Decrements a counter. Returns whether it was above zero.
+    pub(crate) fn consume(counter: &AtomicU64) -> bool {
         counter.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |left| left.checked_sub(1)).is_ok()
     }
 }
--- a/crates/standin/src/http.rs
+++ b/crates/standin/src/http.rs
@@ -1,4 +1,4 @@
-//! Small helpers for HTTP, both sides.
+//! Helpers for HTTP clients and servers.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -18,10 +18,10 @@
 pub(crate) type ServerBody = BoxBody<Bytes, std::io::Error>;
 pub(crate) type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug, Clone)]
 pub struct HttpAnswer {
-    /// The status.
+    /// The status code.
     pub status: u16,
     /// The headers.
     pub headers: hyper::HeaderMap,
@@ -33,12 +33,12 @@
     Client::builder(TokioExecutor::new()).build_http()
 }
 
-pub(crate) fn whole(status: u16, body: impl Into<Bytes>) -> Response<ServerBody> {
+pub(crate) fn full_response(status: u16, body: impl Into<Bytes>) -> Response<ServerBody> {
     let body = Full::new(body.into()).map_err(|never| match never {}).boxed();
-    Response::builder().status(status).body(body).expect("a plain response")
+    Response::builder().status(status).body(body).expect("a valid response")
 }
 
-/// Serves a listener until the task is aborted, which also ends every connection.
+/// Serves a listener until the task is aborted. Aborting the task also closes every connection.
 pub(crate) fn serve<F, Fut>(listener: TcpListener, handler: F) -> JoinHandle<()>
 where
     F: Fn(Request<Incoming>) -> Fut + Clone + Send + Sync + 'static,
@@ -64,11 +64,11 @@
     })
 }
 
-/// Sends one call and reads the whole answer.
+/// Sends one request and reads the complete response.
 ///
 /// # Errors
 ///
-/// Returns the client's error when no whole answer came.
+/// Returns the client's error when no complete response arrived.
 pub async fn call_json(
     address: SocketAddr,
     method: &str,
@@ -79,11 +79,11 @@
     send(&client(), address, method, path, key, &[], body).await
 }
 
-/// Fetches a page.
+/// Sends a GET request and reads the complete response.
 ///
 /// # Errors
 ///
-/// Returns the client's error when no whole answer came.
+/// Returns the client's error when no complete response arrived.
 pub async fn get_text(address: SocketAddr, path: &str) -> Result<HttpAnswer, String> {
     call_json(address, "GET", path, None, String::new()).await
 }
@@ -126,5 +126,5 @@
     for (name, value) in headers {
         builder = builder.header(*name, *value);
     }
-    builder.body(Full::new(Bytes::from(body))).expect("a plain request")
+    builder.body(Full::new(Bytes::from(body))).expect("a valid request")
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,16 +1,17 @@
-//! Stand-ins for everything outside oriolepass, for tests, benches and the demo. Not shipped.
+//! Stand-ins for the engines, services and callers around oriolepass, for tests, benchmarks and the
+//! demo. The crate is not shipped.
 //!
 //! * [`EngineModel`] is a model engine as a state machine: continuous batching step by step,
-//!   chunked prefill by priority, a prefix cache in limited memory, resume, cancel, KV export
+//!   chunked prefill by priority, a prefix cache of limited capacity, resume, cancel, KV export
 //!   and import, orders with or without fencing. It has no clock and no sockets.
-//! * [`EngineServer`] puts one behind the endpoints' HTTP protocol and lets it misbehave on cue
-//!   ([`FaultPlan`]).
-//! * [`ServiceServer`] is a plain service that keeps a ledger of what it ran.
-//! * [`TestCaller`] is a caller that checks every answer against what the stand-in engine must
-//!   say to exactly that prompt.
+//! * [`EngineServer`] serves an [`EngineModel`] over the endpoints' HTTP protocol and injects the
+//!   faults of a [`FaultPlan`].
+//! * [`ServiceServer`] is a plain service with a ledger, a record of the calls that it ran.
+//! * [`TestCaller`] is a caller that compares every answer with the text that a stand-in engine
+//!   computes for the same prompt.
 //!
-//! The ledgers are the oracle of the failure tests: what the system claims about a request is
-//! compared with what the stand-ins really did.
+//! The ledgers are the oracle of the failure tests, which compare what the system reports about a
+//! request with what the stand-ins ran.
 
 mod announcer;
 mod answer;
--- a/crates/standin/src/service_server.rs
+++ b/crates/standin/src/service_server.rs
@@ -1,4 +1,4 @@
-//! A stand-in plain service with a ledger of what it ran.
+//! Runs a stand-in plain service with a ledger, a record of the calls that it ran.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,14 +17,14 @@
 
 use crate::announcer::{self, AnnouncePlan, LoadReport};
 use crate::faults::FaultPlan;
-use crate::http::{ServerBody, serve, whole};
+use crate::http::{ServerBody, full_response, serve};
 
-/// One call that the service ran.
+/// A call that the service ran.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceRun {
     /// The attempt's id.
     pub attempt: String,
-    /// The body.
+    /// The request body.
     pub body: String,
 }
 
@@ -37,7 +37,7 @@
 
 impl ServiceShared {
     fn ledger(&self) -> MutexGuard<'_, Vec<ServiceRun>> {
-        self.ledger.lock().expect("no handler panics while it holds the ledger")
+        self.ledger.lock().expect("no handler panics while it holds the ledger lock")
     }
 }
 
@@ -53,7 +53,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the operating system's error when no port can be had.
+    /// Returns the operating system's error when no port can be bound.
     pub async fn start(
         endpoint: EndpointId,
         data_centre: DataCentreId,
@@ -85,32 +85,32 @@
         Ok(Self { shared, announcement, tasks: vec![server, announcer] })
     }
 
-    /// Returns where it takes calls.
+    /// Returns the address for calls.
     pub fn address(&self) -> SocketAddr {
         self.announcement.address
     }
 
-    /// Returns everything that it ran, in order.
+    /// Returns the calls that the service ran, in order.
     pub fn ledger(&self) -> Vec<ServiceRun> {
         self.shared.ledger().clone()
     }
 
-    /// Returns how often a body was run.
+    /// Returns the number of calls with this body that ran.
     pub fn runs_of(&self, body: &str) -> usize {
         self.shared.ledger().iter().filter(|run| run.body == body).count()
     }
 
-    /// Makes every call take a while.
+    /// Sets the delay between running a call and answering.
     pub fn set_delay(&self, delay: Duration) {
-        *self.shared.delay.lock().expect("no handler panics with the delay") = delay;
+        *self.shared.delay.lock().expect("no handler panics while it holds the delay lock") = delay;
     }
 
-    /// Returns what it should do wrong.
+    /// Returns the faults to inject.
     pub fn faults(&self) -> &FaultPlan {
         &self.shared.faults
     }
 
-    /// Dies at once, with every connection.
+    /// Stops the service immediately and closes all connections, as a crash does.
     pub fn kill(&self) {
         self.tasks.iter().for_each(JoinHandle::abort);
     }
@@ -124,36 +124,40 @@
 
 async fn handle(shared: Arc<ServiceShared>, request: Request<Incoming>) -> Response<ServerBody> {
     if request.uri().path() == "/v1/streams" {
-        let none = HeldStreams { streams: Vec::new() };
-        return whole(200, serde_json::to_string(&none).expect("a plain message"));
+        let no_streams = HeldStreams { streams: Vec::new() };
+        return full_response(
+            200,
+            serde_json::to_string(&no_streams).expect("the message serializes to JSON"),
+        );
     }
     if request.method() == hyper::Method::DELETE {
-        return whole(404, "");
+        return full_response(404, "");
     }
     let attempt = request.headers().get(ATTEMPT_HEADER);
     let attempt = attempt.and_then(|v| v.to_str().ok()).unwrap_or_default().to_owned();
-    let Ok(bytes) = request.into_body().collect().await else { return whole(400, "") };
+    let Ok(bytes) = request.into_body().collect().await else { return full_response(400, "") };
     let body = String::from_utf8_lossy(&bytes.to_bytes()).into_owned();
-    if FaultPlan::strike(&shared.faults.refuse) {
-        let mut answer = whole(503, "refused on cue");
-        answer.headers_mut().insert(NOT_RUN_HEADER, "1".parse().expect("a plain value"));
-        return echo(answer, &attempt);
+    if FaultPlan::consume(&shared.faults.refuse) {
+        let mut answer = full_response(503, "refused by fault injection");
+        answer.headers_mut().insert(NOT_RUN_HEADER, "1".parse().expect("a valid header value"));
+        return with_attempt_header(answer, &attempt);
     }
     shared.ledger().push(ServiceRun { attempt: attempt.clone(), body: body.clone() });
-    let delay = *shared.delay.lock().expect("no handler panics with the delay");
+    let delay = *shared.delay.lock().expect("no handler panics while it holds the delay lock");
     tokio::time::sleep(delay).await;
-    if FaultPlan::strike(&shared.faults.run_without_answer) {
-        // The connection is held and never answered, as by a service that died after acting.
+    if FaultPlan::consume(&shared.faults.run_without_answer) {
+        // Holds the connection open without an answer, as when a service fails after it has run
+        // the call.
         std::future::pending::<()>().await;
     }
-    let echoed = match FaultPlan::strike(&shared.faults.wrong_attempt_id) {
+    let echoed = match FaultPlan::consume(&shared.faults.wrong_attempt_id) {
         true => "somebody-else",
         false => &attempt,
     };
-    echo(whole(200, format!("done: {body}")), echoed)
+    with_attempt_header(full_response(200, format!("done: {body}")), echoed)
 }
 
-fn echo(mut answer: Response<ServerBody>, attempt: &str) -> Response<ServerBody> {
+fn with_attempt_header(mut answer: Response<ServerBody>, attempt: &str) -> Response<ServerBody> {
     if let Ok(value) = attempt.parse() {
         answer.headers_mut().insert(ATTEMPT_HEADER, value);
     }
