--- a/crates/standin/src/caller.rs
+++ b/crates/standin/src/caller.rs
@@ -313,7 +313,7 @@
             return Err(CallerError::Api(error));
         }
         let (true, Some(last)) = (self.done, self.last) else { return Err(CallerError::Truncated) };
-        let (usage, proof) = (
+        let (usage, extension) = (
             last.usage.expect("only an answer with usage is stored in last"),
             last.oriolepass.expect("an answer with usage carries the digest"),
         );
@@ -323,7 +323,7 @@
                 self.text
             )));
         }
-        if proof.digest != sha256_hex(self.text.as_bytes()) {
+        if extension.digest != sha256_hex(self.text.as_bytes()) {
             return Err(CallerError::Wrong("digest does not match the answer text".to_owned()));
         }
         if usage.completion_tokens.0 != call.max_tokens {
@@ -333,7 +333,7 @@
             first_token: self.first_token.unwrap_or_default(),
             total: started.elapsed(),
             tokens: usage.completion_tokens.0,
-            attempts: proof.attempts,
+            attempts: extension.attempts,
         })
     }
 }
--- a/crates/standin/src/engine_model.rs
+++ b/crates/standin/src/engine_model.rs
@@ -124,7 +124,7 @@
     cache_changes: Vec<CacheChange>,
     runs: BTreeMap<AttemptId, EngineRun>,
     highest_fencing: FencingNumber,
-    orders_done: Vec<String>,
+    executed_orders: Vec<String>,
 }
 
 impl EngineModel {
@@ -140,7 +140,7 @@
             cache_changes: Vec::new(),
             runs: BTreeMap::new(),
             highest_fencing: FencingNumber::ZERO,
-            orders_done: Vec::new(),
+            executed_orders: Vec::new(),
         }
     }
 
@@ -282,10 +282,10 @@
             return Err(format!("fencing number {} is below {highest}", order.fencing));
         }
         self.highest_fencing = self.highest_fencing.max(order.fencing);
-        if self.orders_done.contains(&order.order_id) {
+        if self.executed_orders.contains(&order.order_id) {
             return Ok(());
         }
-        self.orders_done.push(order.order_id.clone());
+        self.executed_orders.push(order.order_id.clone());
         match &order.kind {
             OrderKind::LoadModel { model } if !self.config.models.contains(model) => {
                 self.config.models.push(model.clone());
--- a/crates/standin/src/engine_server.rs
+++ b/crates/standin/src/engine_server.rs
@@ -169,7 +169,8 @@
 }
 
 /// Runs the engine's steps in real time. A step's end is scheduled from the end of the step before,
-/// so that a late wake-up does not delay later steps; a delay above 50 ms is dropped.
+/// so that a late wake-up does not delay later steps. The schedule restarts from the present time
+/// when it is more than 50 ms behind.
 async fn run_steps(shared: Arc<EngineShared>) {
     let mut due = tokio::time::Instant::now();
     loop {
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -14,8 +14,8 @@
     pub duplicate_token: AtomicU64,
     /// Answers whose connection breaks once half of the tokens have been sent.
     pub disconnect: AtomicU64,
-    /// Calls that start and get no answer: an engine returns status 500 with an empty body, a service
-    /// runs the call and holds the connection open.
+    /// Calls that start and get no answer: an engine returns status 500 with an empty body, a
+    /// service runs the call and holds the connection open.
     pub run_without_answer: AtomicU64,
     /// Calls that are refused without running.
     pub refuse: AtomicU64,
