--- a/crates/experiment/examples/placement.rs
+++ b/crates/experiment/examples/placement.rs
@@ -1,4 +1,4 @@
-//! Plays days of the users' deployments under the gateway's placement and under baselines.
+//! Simulates days of the users' deployments under the gateway's placement and under baselines.
 
 use std::path::{Path, PathBuf};
 use std::thread;
@@ -8,7 +8,7 @@
 use oriolepass_experiment::{DayPlan, DayPrompt, DayResult, FleetPolicy, run_day, run_prompts};
 
 #[derive(Debug, Clone)]
-struct PlacementTask {
+struct PlacementOptions {
     seeds: u64,
     loads: Vec<f64>,
     json: bool,
@@ -18,29 +18,32 @@
     further: bool,
 }
 
-fn command_line() -> OptionParser<PlacementTask> {
-    let seeds = long("seeds").help("Days of each kind").argument("N").fallback(40);
+fn command_line() -> OptionParser<PlacementOptions> {
+    let seeds =
+        long("seeds").help("Days to simulate for each load and policy").argument("N").fallback(40);
     let loads = long("load")
-        .help("What the sheets' rates are multiplied by; may be given several times")
+        .help("Factor of the deployment's arrival rates; may be given several times")
         .argument("X")
-        .some("give a load")
+        .some("expected a load")
         .fallback(vec![0.85, 1.0, 1.25]);
     let json = long("json").help("Write JSON").switch();
     let trace = long("trace")
-        .help("Play these prompts, a JSON object a line, instead of drawn ones")
+        .help(
+            "Simulate the prompts in this file, one JSON object per line, instead of drawn prompts",
+        )
         .argument::<PathBuf>("FILE")
         .optional();
-    let engines = long("engines").help("Engines of the deployment").argument("N").fallback(14);
-    let grown = long("grown").help("Play the deployment when grown; it has 45 engines").switch();
+    let engines = long("engines").help("Number of engines").argument("N").fallback(14);
+    let grown = long("grown").help("Simulate the grown deployment, which has 45 engines").switch();
     let further = long("further")
-        .help("Play the deployment with more long prompts; it has 18 engines")
+        .help("Simulate the deployment with more long prompts, which has 18 engines")
         .switch();
-    construct!(PlacementTask { seeds, loads, json, trace, engines, grown, further })
+    construct!(PlacementOptions { seeds, loads, json, trace, engines, grown, further })
         .to_options()
-        .descr("Plays days on engines that work in passes, and prices them")
+        .descr("Simulates days of a deployment and computes the worth of the answers")
 }
 
-fn play(plan: &DayPlan, policy: FleetPolicy, seeds: u64) -> Vec<DayResult> {
+fn simulate(plan: &DayPlan, policy: FleetPolicy, seeds: u64) -> Vec<DayResult> {
     let workers = thread::available_parallelism().map_or(1, usize::from) as u64;
     thread::scope(|scope| {
         let threads: Vec<_> = (0..workers)
@@ -53,11 +56,14 @@
                 })
             })
             .collect();
-        threads.into_iter().flat_map(|t| t.join().expect("a day ends")).collect()
+        threads
+            .into_iter()
+            .flat_map(|t| t.join().expect("the simulation of a day does not panic"))
+            .collect()
     })
 }
 
-fn summary(plan: &DayPlan, policy: FleetPolicy, days: &[DayResult], json: bool) {
+fn print_summary(plan: &DayPlan, policy: FleetPolicy, days: &[DayResult], json: bool) {
     let shares: Vec<f64> = days.iter().map(DayResult::share).collect();
     let count = shares.len() as f64;
     let mean = shares.iter().sum::<f64>() / count;
@@ -77,8 +83,8 @@
     );
     for (at, class) in plan.classes.iter().enumerate() {
         let tallies = || days.iter().map(|day| &day.classes[at]);
-        let asked: u32 = tallies().map(|tally| tally.asked).sum();
-        let part = |count: u32| f64::from(count) / f64::from(asked.max(1));
+        let arrived: u32 = tallies().map(|tally| tally.arrived).sum();
+        let ratio = |count: u32| f64::from(count) / f64::from(arrived.max(1));
         let mut errors: Vec<f64> = tallies()
             .flat_map(|tally| &tally.first_ms)
             .map(|(predicted, actual)| predicted - actual)
@@ -88,22 +94,25 @@
         println!(
             "  {:<8} on time {:.3}  late first {:.3}  late pause {:.3}  lost {:.3}  predicted less actual ms: 10% {:.0} 50% {:.0} 90% {:.0}",
             class.name,
-            part(tallies().map(|t| t.on_time).sum()),
-            part(tallies().map(|t| t.late_first).sum()),
-            part(tallies().map(|t| t.late_pause).sum()),
-            part(tallies().map(|t| t.lost).sum()),
+            ratio(tallies().map(|t| t.on_time).sum()),
+            ratio(tallies().map(|t| t.late_first).sum()),
+            ratio(tallies().map(|t| t.late_pause).sum()),
+            ratio(tallies().map(|t| t.lost).sum()),
             quantile(0.1).unwrap_or(0.0),
             quantile(0.5).unwrap_or(0.0),
             quantile(0.9).unwrap_or(0.0),
         );
-        println!("           late or lost by the second: {}", by_second(plan, days, at));
+        println!(
+            "           late or lost by the second: {}",
+            late_or_lost_by_second(plan, days, at)
+        );
     }
 }
 
-/// Counts late and lost prompts for each second of the day, per day.
-fn by_second(plan: &DayPlan, days: &[DayResult], class: usize) -> String {
+/// Formats the mean number of late and lost prompts for each second of the day.
+fn late_or_lost_by_second(plan: &DayPlan, days: &[DayResult], class: usize) -> String {
     let mut counts = vec![0.0; plan.seconds as usize + 1];
-    for at in days.iter().flat_map(|day| &day.classes[class].bad_at) {
+    for at in days.iter().flat_map(|day| &day.classes[class].late_or_lost_at_s) {
         let second = (*at as usize).min(counts.len() - 1);
         counts[second] += 1.0 / days.len() as f64;
     }
@@ -112,34 +121,36 @@
 }
 
 fn read_trace(file: &Path) -> Result<Vec<DayPrompt>> {
-    let text = std::fs::read_to_string(file).wrap_err("the trace cannot be read")?;
-    text.lines().map(|line| serde_json::from_str(line).wrap_err("a line of the trace")).collect()
+    let text = std::fs::read_to_string(file).wrap_err("failed to read the trace")?;
+    text.lines()
+        .map(|line| serde_json::from_str(line).wrap_err("failed to parse a line of the trace"))
+        .collect()
 }
 
 fn main() -> Result<()> {
-    let task = command_line().run();
+    let options = command_line().run();
     let policies =
         [FleetPolicy::Predicting, FleetPolicy::LeastOutstanding, FleetPolicy::RoundRobin];
-    if let Some(file) = &task.trace {
+    if let Some(file) = &options.trace {
         let prompts = read_trace(file)?;
-        let plan = DayPlan::present("trace", task.engines, 1.0);
+        let plan = DayPlan::present("trace", options.engines, 1.0);
         for policy in policies {
             let day = run_prompts(&plan, policy, prompts.clone());
-            summary(&plan, policy, &[day], task.json);
+            print_summary(&plan, policy, &[day], options.json);
         }
         return Ok(());
     }
-    for load in &task.loads {
-        let plan = if task.further {
-            DayPlan::further("further", task.engines, *load)
-        } else if task.grown {
-            DayPlan::grown("grown", task.engines, *load)
+    for load in &options.loads {
+        let plan = if options.further {
+            DayPlan::further("further", options.engines, *load)
+        } else if options.grown {
+            DayPlan::grown("grown", options.engines, *load)
         } else {
-            DayPlan::present("present", task.engines, *load)
+            DayPlan::present("present", options.engines, *load)
         };
         for policy in policies {
-            let days = play(&plan, policy, task.seeds);
-            summary(&plan, policy, &days, task.json);
+            let days = simulate(&plan, policy, options.seeds);
+            print_summary(&plan, policy, &days, options.json);
         }
     }
     Ok(())
--- a/crates/experiment/examples/policy.rs
+++ b/crates/experiment/examples/policy.rs
@@ -1,4 +1,4 @@
-//! Compares the product's policy with the baselines and writes a table and plots.
+//! Compares the product's policy with the baselines. Prints a table and writes plots.
 //!
 //! `cargo run --release -p oriolepass-experiment --example policy -- OUT_FOLDER [SECONDS]`
 
@@ -13,7 +13,8 @@
 use oriolepass_scheduler::{LengthClass, SchedulerConfig};
 use plotters::prelude::*;
 
-/// Seeds of the report; the parameters were chosen on others (1 to 3).
+/// Seed of the report. The `tune` example uses the seeds 1 to 3, so that no parameter is fitted to
+/// this seed.
 const SEED: u64 = 1_001;
 
 const LOADS: [f64; 5] = [0.5, 0.7, 0.85, 0.95, 1.2];
@@ -29,6 +30,7 @@
 struct Row {
     case: Case,
     result: PolicyResult,
+    /// Mean time to first token of short prompts without other prompts.
     short_alone_ms: f64,
 }
 
@@ -68,14 +70,15 @@
             }
             add("bursts", plan(0.7, true, vec![]));
             add("engine lost", plan(0.7, false, vec![0]));
-            let centre: Vec<usize> = (0..mix.engines).step_by(mix.data_centres).collect();
-            add("centre lost", plan(0.5, false, centre));
+            let first_data_centre: Vec<usize> =
+                (0..mix.engines).step_by(mix.data_centres).collect();
+            add("centre lost", plan(0.5, false, first_data_centre));
         }
     }
     cases
 }
 
-/// Runs all cases on all processors; the order of the results is that of the cases.
+/// Runs all cases, one thread for each processor. Returns the results in the order of the cases.
 fn run_all(cases: Vec<Case>) -> Vec<Row> {
     let next = AtomicUsize::new(0);
     let results: Mutex<Vec<Option<(PolicyResult, f64)>>> =
@@ -91,17 +94,18 @@
                     let alone = RunPlan { short_only: true, ..case.plan.clone() };
                     let alone = run_policy(&case.mix, &case.kind, &alone);
                     let alone = alone.mean_ms(LengthClass::Short);
-                    results.lock().expect("no panic with the lock")[number] = Some((result, alone));
+                    results.lock().expect("no thread panics while it holds the lock")[number] =
+                        Some((result, alone));
                 }
             });
         }
     });
-    let results = results.into_inner().expect("no panic with the lock");
+    let results = results.into_inner().expect("no thread panics while it holds the lock");
     cases
         .into_iter()
         .zip(results)
         .map(|(case, done)| {
-            let (result, short_alone_ms) = done.expect("every case was run");
+            let (result, short_alone_ms) = done.expect("each case has a result");
             Row { case, result, short_alone_ms }
         })
         .collect()
@@ -144,7 +148,7 @@
     }
 }
 
-/// Plots the 95th percentile of short prompts over the load, for one mix.
+/// Plots the 95th percentile of the time to first token of short prompts by load, for one mix.
 fn plot(rows: &[Row], mix: &str, file: &Path) -> Result<()> {
     let root = SVGBackend::new(file, (900, 560)).into_drawing_area();
     root.fill(&WHITE)?;
@@ -189,7 +193,7 @@
     let mut arguments = std::env::args().skip(1);
     let folder = PathBuf::from(arguments.next().unwrap_or_else(|| "target/policy".to_owned()));
     let seconds: f64 = arguments.next().map_or(Ok(120.0), |text| text.parse())?;
-    std::fs::create_dir_all(&folder).wrap_err("the folder cannot be made")?;
+    std::fs::create_dir_all(&folder).wrap_err("failed to create the output folder")?;
     let mixes_folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("mixes");
     let mixes: Vec<LoadMix> = ["agencia", "magnolia"]
         .iter()
--- a/crates/experiment/examples/tune.rs
+++ b/crates/experiment/examples/tune.rs
@@ -1,4 +1,5 @@
-//! Tries parameters of the homes on the seeds kept for that, other than those of the report.
+//! Compares scheduler parameters of the homes. The seeds differ from the seed of the report in the
+//! `policy` example, so that no parameter is fitted to that seed.
 //!
 //! `cargo run --release -p oriolepass-experiment --example tune`
 
@@ -11,18 +12,18 @@
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
-/// The mean of some figures over the seeds.
+/// Metrics of runs, as means over the seeds.
 #[derive(Default)]
-struct Figures {
+struct MeanMetrics {
     short_p95: f64,
     slowdown: f64,
     medium_p95: f64,
     long_goodput: f64,
 }
 
-fn measure(mix: &LoadMix, config: &SchedulerConfig, load: f64) -> Figures {
+fn measure(mix: &LoadMix, config: &SchedulerConfig, load: f64) -> MeanMetrics {
     let kind = PolicyKind::Homes(config.clone());
-    let mut sum = Figures::default();
+    let mut sum = MeanMetrics::default();
     for seed in SEEDS {
         let plan = RunPlan {
             seed,
@@ -34,12 +35,12 @@
         };
         let mixed = run_policy(mix, &kind, &plan);
         let alone = run_policy(mix, &kind, &RunPlan { short_only: true, ..plan });
-        let part = 1.0 / SEEDS.len() as f64;
+        let weight = 1.0 / SEEDS.len() as f64;
         let short = LengthClass::Short;
-        sum.short_p95 += mixed.quantile_ms(short, 0.95) * part;
-        sum.slowdown += mixed.mean_ms(short) / alone.mean_ms(short) * part;
-        sum.medium_p95 += mixed.quantile_ms(LengthClass::Medium, 0.95) * part;
-        sum.long_goodput += mixed.long_goodput * part;
+        sum.short_p95 += mixed.quantile_ms(short, 0.95) * weight;
+        sum.slowdown += mixed.mean_ms(short) / alone.mean_ms(short) * weight;
+        sum.medium_p95 += mixed.quantile_ms(LengthClass::Medium, 0.95) * weight;
+        sum.long_goodput += mixed.long_goodput * weight;
     }
     sum
 }
@@ -60,14 +61,14 @@
                         spill_after: Duration::from_secs(spill),
                         ..SchedulerConfig::default()
                     };
-                    let figures = measure(&mix, &config, load);
+                    let metrics = measure(&mix, &config, load);
                     println!(
                         "| {name} | {load} | {clear_load_percent} | {spill} | {:.0} | {:.2} | \
                          {:.0} | {:.0} |",
-                        figures.short_p95,
-                        figures.slowdown,
-                        figures.medium_p95,
-                        figures.long_goodput
+                        metrics.short_p95,
+                        metrics.slowdown,
+                        metrics.medium_p95,
+                        metrics.long_goodput
                     );
                 }
             }
--- a/crates/experiment/src/baseline.rs
+++ b/crates/experiment/src/baseline.rs
@@ -1,4 +1,5 @@
-//! Baselines: the usual rules of placement, each with a first-come queue in front of each engine.
+//! Places prompts by common load-balancing rules, the baselines of the comparison. Each engine has
+//! a first-come, first-served queue.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,51 +12,53 @@
 use crate::farm::{EngineFarm, PlacedPrompt, engine_config};
 use crate::mix::Arrival;
 
-/// How old the load reports are when they are used, at most.
-const REPORT_EVERY: Duration = Duration::from_millis(500);
+/// Interval between load reports, and so their maximum age.
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A rule of placement.
+/// A placement rule.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BaselineRule {
-    /// Any engine.
+    /// A random engine.
     Random,
-    /// One after the other.
+    /// The engines in turn.
     RoundRobin,
-    /// The one with the fewest tokens outstanding, on reports that lag, corrected by what was
-    /// sent since.
+    /// The engine with the fewest outstanding tokens by the last load report and the prompts sent
+    /// since.
     LeastTokens,
-    /// The better of two picked at random.
+    /// The less loaded of two random engines.
     PowerOfTwo,
-    /// By a hash of the account, as prefix affinity alone would.
+    /// An engine by a hash of the account, as under prefix affinity alone.
     AffinityOnly,
-    /// A part of the engines for prompts up to 4 k tokens only, least tokens within each.
+    /// A quarter of the engines takes only short prompts (up to 4 k tokens), and the others take
+    /// the rest. Within each part, the engine with the fewest outstanding tokens is chosen.
     StaticSplit,
 }
 
-/// Places prompts by a rule.
+/// Places prompts by a baseline rule.
 pub struct BaselinePolicy {
     rule: BaselineRule,
     priorities: bool,
     engines: usize,
     random: StdRng,
-    next: usize,
-    /// Tokens outstanding by the last report, plus what was sent since.
+    round_robin_index: usize,
+    /// Outstanding tokens of each engine by the last report, plus the tokens sent since.
     outstanding: Vec<u64>,
     reports_due: MonotonicTime,
-    /// First-come queues; a prompt that needs several engines stands in all of theirs.
+    /// The queue of each engine. A prompt for several engines is in the queues of all of them.
     queues: Vec<VecDeque<usize>>,
+    /// The queued prompts by request.
     waiting: Vec<Option<PlacedPrompt>>,
 }
 
 impl BaselinePolicy {
-    /// Creates a baseline; `priorities` lets engines process shorter prompts first.
+    /// Creates a baseline. With `priorities`, engines process shorter prompts first.
     pub fn new(rule: BaselineRule, priorities: bool, engines: usize, seed: u64) -> Self {
         Self {
             rule,
             priorities,
             engines,
             random: StdRng::seed_from_u64(seed),
-            next: 0,
+            round_robin_index: 0,
             outstanding: vec![0; engines],
             reports_due: MonotonicTime::ZERO,
             queues: vec![VecDeque::new(); engines],
@@ -63,11 +66,11 @@
         }
     }
 
-    fn refresh(&mut self, now: MonotonicTime, farm: &EngineFarm) {
+    fn refresh_reports(&mut self, now: MonotonicTime, farm: &EngineFarm) {
         if now < self.reports_due {
             return;
         }
-        self.reports_due = now + REPORT_EVERY;
+        self.reports_due = now + REPORT_INTERVAL;
         let memory = engine_config().memory.0;
         for engine in 0..self.engines {
             let queued: u64 = self.queues[engine]
@@ -81,8 +84,8 @@
         }
     }
 
-    /// Engines from which a prompt may choose, the best first.
-    fn order(&mut self, arrival: &Arrival, farm: &EngineFarm) -> Vec<usize> {
+    /// Returns the engines that may take a prompt, in order of preference.
+    fn ranked_engines(&mut self, arrival: &Arrival, farm: &EngineFarm) -> Vec<usize> {
         let mut alive: Vec<usize> =
             (0..self.engines).filter(|engine| farm.is_alive(*engine)).collect();
         if self.rule == BaselineRule::StaticSplit {
@@ -97,8 +100,8 @@
                 alive.rotate_left(start);
             }
             BaselineRule::RoundRobin => {
-                self.next += 1;
-                alive.rotate_left(self.next % count);
+                self.round_robin_index += 1;
+                alive.rotate_left(self.round_robin_index % count);
             }
             BaselineRule::AffinityOnly => alive.rotate_left(arrival.account * 7 % count),
             BaselineRule::LeastTokens | BaselineRule::StaticSplit => {
@@ -124,14 +127,14 @@
         arrival: &Arrival,
         farm: &EngineFarm,
     ) {
-        self.refresh(now, farm);
-        let order = self.order(arrival, farm);
+        self.refresh_reports(now, farm);
+        let ranked = self.ranked_engines(arrival, farm);
         let need = arrival.prompt + arrival.answer;
         let memory = engine_config().memory.0;
         let count = usize::try_from(need.div_ceil(memory)).unwrap_or(1);
         let part = need.div_ceil(count as u64);
         let members: Vec<(usize, u64)> =
-            order.into_iter().take(count).map(|engine| (engine, part)).collect();
+            ranked.into_iter().take(count).map(|engine| (engine, part)).collect();
         for (engine, part) in &members {
             self.outstanding[*engine] += part;
             self.queues[*engine].push_back(request);
@@ -144,7 +147,7 @@
         self.waiting[request] = Some(PlacedPrompt { request, members, priority });
     }
 
-    /// Takes out a prompt that heads every queue it stands in and fits there.
+    /// Removes and returns a prompt that is first in all its queues and fits on all its engines.
     pub(crate) fn take_ready(&mut self, farm: &EngineFarm) -> Option<PlacedPrompt> {
         let ready = (0..self.engines).find_map(|engine| {
             let request = *self.queues[engine].front()?;
@@ -161,8 +164,9 @@
         Some(prompt)
     }
 
-    /// Takes out what waits for an engine that died; it will be submitted again.
-    pub(crate) fn drop_engine(&mut self, engine: usize) -> Vec<usize> {
+    /// Removes and returns the requests that wait for a stopped engine. The caller submits the
+    /// requests again.
+    pub(crate) fn remove_engine(&mut self, engine: usize) -> Vec<usize> {
         let lost: Vec<usize> = self.queues[engine].drain(..).collect();
         for request in &lost {
             self.waiting[*request] = None;
--- a/crates/experiment/src/farm.rs
+++ b/crates/experiment/src/farm.rs
@@ -1,4 +1,4 @@
-//! Engines in manual time.
+//! Simulates several engines in logical time.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,8 +11,9 @@
 
 use crate::mix::Arrival;
 
-/// The stated cost model: 20,000 prompt tokens a second, batches of 1,024 tokens, 8 ms for an
-/// empty step, 3 microseconds more for each thousand tokens of context that a step reads.
+/// Returns the cost model of the experiments: 20,000 prompt tokens per second, batches of 1,024
+/// tokens, 8 ms for an empty step, and 3 microseconds more for each thousand tokens of context that
+/// a step reads.
 pub fn engine_config() -> EngineConfig {
     EngineConfig {
         memory: TokenCount(450_000),
@@ -26,22 +27,22 @@
     }
 }
 
-/// What an engine tells.
+/// An event of a request on an engine.
 #[derive(Debug, Clone)]
 pub enum FarmEvent {
-    /// The first token of a request.
+    /// The engine produced the first token.
     FirstToken {
-        /// The request.
+        /// Index of the request.
         request: usize,
     },
-    /// The end of a request.
+    /// The request ended.
     Ended {
-        /// The request.
+        /// Index of the request.
         request: usize,
     },
 }
 
-/// A prompt that may start: the engines with the memory on each, the first of which leads.
+/// A placed prompt: its engines with the memory to reserve on each, the main engine first.
 #[derive(Debug)]
 pub(crate) struct PlacedPrompt {
     pub(crate) request: usize,
@@ -51,63 +52,65 @@
 
 struct FarmEngine {
     model: EngineModel,
-    alive: bool,
-    stepping: bool,
+    is_running: bool,
+    is_stepping: bool,
 }
 
-/// All engines.
+/// Several engines in logical time.
 pub struct EngineFarm {
     engines: Vec<FarmEngine>,
-    /// Steps that end at a time, with what they tell.
-    due: BTreeMap<(MonotonicTime, usize), Vec<StepEvent>>,
+    /// The running steps by end time and engine, with their results.
+    running_steps: BTreeMap<(MonotonicTime, usize), Vec<StepEvent>>,
+    /// The memory reserved on each engine, by request.
     reserved: Vec<BTreeMap<usize, u64>>,
 }
 
-fn attempt(request: usize) -> AttemptId {
+fn attempt_id(request: usize) -> AttemptId {
     format!("r-{request}").parse().expect("a valid id")
 }
 
 fn request_of(attempt: &AttemptId) -> usize {
-    attempt.as_str()[2..].parse().expect("a number")
+    attempt.as_str()[2..].parse().expect("the attempt id ends in the request's number")
 }
 
 impl EngineFarm {
-    /// Creates empty engines.
+    /// Creates `count` idle engines.
     pub fn new(count: usize) -> Self {
         let engine = || FarmEngine {
             model: EngineModel::new(engine_config()),
-            alive: true,
-            stepping: false,
+            is_running: true,
+            is_stepping: false,
         };
         Self {
             engines: (0..count).map(|_| engine()).collect(),
-            due: BTreeMap::new(),
+            running_steps: BTreeMap::new(),
             reserved: vec![BTreeMap::new(); count],
         }
     }
 
-    /// Returns whether an engine lives.
+    /// Returns whether an engine is running.
     pub fn is_alive(&self, engine: usize) -> bool {
-        self.engines[engine].alive
+        self.engines[engine].is_running
     }
 
-    /// Returns the free memory of an engine.
+    /// Returns the free memory of an engine, in tokens.
     pub fn free(&self, engine: usize) -> u64 {
         let model = &self.engines[engine].model;
         model.config().memory.0 - model.used().0
     }
 
-    /// Returns the prompt tokens not processed yet and the streams of an engine.
+    /// Returns the prompt tokens that an engine has not yet processed, and the number of its
+    /// streams.
     pub fn load(&self, engine: usize) -> (u64, u32) {
         let (backlog, streams) = self.engines[engine].model.load();
         (backlog.0, streams)
     }
 
-    /// Starts a request on engines, the first of which leads.
+    /// Starts a request on its engines, the main engine first.
     ///
     /// # Panics
     ///
-    /// Panics when an engine has not the memory: whoever placed it has miscounted.
+    /// Panics when an engine lacks the memory, which is an accounting error of the policy.
     pub fn start(
         &mut self,
         now: MonotonicTime,
@@ -116,65 +119,76 @@
         members: &[(usize, u64)],
         priority: u8,
     ) {
-        let (lead, own) = members[0];
+        let (main_engine, main_tokens) = members[0];
         for (engine, part) in &members[1..] {
-            let call = PartCall { attempt: attempt(request), reserved: TokenCount(*part) };
-            self.engines[*engine].model.hold_part(&call).expect("room for the part");
+            let call = PartCall { attempt: attempt_id(request), reserved: TokenCount(*part) };
+            self.engines[*engine]
+                .model
+                .hold_part(&call)
+                .expect("the policy reserves memory for the part");
             self.reserved[*engine].insert(request, *part);
         }
-        let prompt = usize::try_from(arrival.prompt).expect("a prompt that fits in memory");
+        let prompt = usize::try_from(arrival.prompt).expect("the prompt length fits in usize");
         let call = AttemptCall {
-            attempt: attempt(request),
+            attempt: attempt_id(request),
             model: "oriole-large".parse().expect("a valid name"),
             prompt: Arc::new(PromptBody::Tokens(vec![0; prompt])),
             max_tokens: arrival.answer,
-            reserved: TokenCount(own),
+            reserved: TokenCount(main_tokens),
             priority,
             resume_from: 0,
             resume_text: String::new(),
-            helpers: members[1..].iter().map(|_| "127.0.0.1:1".parse().expect("one")).collect(),
+            helpers: members[1..]
+                .iter()
+                .map(|_| "127.0.0.1:1".parse().expect("a valid address"))
+                .collect(),
         };
-        self.engines[lead].model.submit(&call).expect("room for the prompt");
-        self.reserved[lead].insert(request, own);
-        self.step_if_idle(now, lead);
+        self.engines[main_engine]
+            .model
+            .submit(&call)
+            .expect("the policy reserves memory for the prompt");
+        self.reserved[main_engine].insert(request, main_tokens);
+        self.start_step_if_idle(now, main_engine);
     }
 
-    fn step_if_idle(&mut self, now: MonotonicTime, engine: usize) {
+    fn start_step_if_idle(&mut self, now: MonotonicTime, engine: usize) {
         let target = &mut self.engines[engine];
-        if target.stepping || !target.alive || target.model.is_idle() {
+        if target.is_stepping || !target.is_running || target.model.is_idle() {
             return;
         }
-        target.stepping = true;
+        target.is_stepping = true;
         let step = target.model.step();
-        self.due.insert((now + step.duration, engine), step.events);
+        self.running_steps.insert((now + step.duration, engine), step.events);
     }
 
-    /// Frees what a request holds on the engines that helped.
-    pub fn end_parts(&mut self, request: usize, members: &[(usize, u64)]) {
+    /// Releases the memory that a request holds on the given engines.
+    pub fn release(&mut self, request: usize, members: &[(usize, u64)]) {
         for (engine, _) in members {
-            self.engines[*engine].model.cancel(&attempt(request));
+            self.engines[*engine].model.cancel(&attempt_id(request));
             self.reserved[*engine].remove(&request);
         }
     }
 
-    /// Kills an engine; returns the requests that it held a part of.
+    /// Stops an engine and drops its state. Returns the requests that held memory on the engine.
     pub fn kill(&mut self, engine: usize) -> Vec<usize> {
-        self.engines[engine].alive = false;
-        self.engines[engine].stepping = false;
+        self.engines[engine].is_running = false;
+        self.engines[engine].is_stepping = false;
         self.engines[engine].model = EngineModel::new(engine_config());
-        self.due.retain(|(_, stepping), _| *stepping != engine);
+        self.running_steps.retain(|(_, step_engine), _| *step_engine != engine);
         std::mem::take(&mut self.reserved[engine]).into_keys().collect()
     }
 
-    /// Returns when the next step ends.
-    pub fn next_due(&self) -> Option<MonotonicTime> {
-        self.due.first_key_value().map(|((at, _), _)| *at)
+    /// Returns the end time of the next step to end.
+    pub fn next_step_end(&self) -> Option<MonotonicTime> {
+        self.running_steps.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// Ends the step that is due first and starts that engine's next one.
+    /// Ends the earliest running step and starts the next step of the same engine.
     pub fn advance(&mut self) -> Vec<FarmEvent> {
-        let Some(((now, engine), events)) = self.due.pop_first() else { return Vec::new() };
-        let told = events.into_iter().filter_map(|event| match event {
+        let Some(((now, engine), events)) = self.running_steps.pop_first() else {
+            return Vec::new();
+        };
+        let farm_events = events.into_iter().filter_map(|event| match event {
             StepEvent::Token { attempt, index: 0, .. } => {
                 Some(FarmEvent::FirstToken { request: request_of(&attempt) })
             }
@@ -183,9 +197,9 @@
                 Some(FarmEvent::Ended { request: request_of(&attempt) })
             }
         });
-        let told: Vec<FarmEvent> = told.collect();
-        self.engines[engine].stepping = false;
-        self.step_if_idle(now, engine);
-        told
+        let farm_events: Vec<FarmEvent> = farm_events.collect();
+        self.engines[engine].is_stepping = false;
+        self.start_step_if_idle(now, engine);
+        farm_events
     }
 }
--- a/crates/experiment/src/fleet_day.rs
+++ b/crates/experiment/src/fleet_day.rs
@@ -1,114 +1,117 @@
-//! Days of a deployment: what is asked when, drawn from a seed.
+//! Draws the prompts of a deployment's day from a seed.
 
 use oriolepass_routing::EngineProfile;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
 
-/// Prompts of one kind.
+/// A class of prompts with the same rate, lengths and objectives.
 #[derive(Debug, Clone)]
 pub struct PromptClass {
-    /// Its name.
+    /// The class's name.
     pub name: &'static str,
-    /// Arrivals in a second.
+    /// Arrivals per second.
     pub per_second: f64,
-    /// Mean, spread (of the logarithm) and maximum of the prompt's tokens.
+    /// Mean, standard deviation of the logarithm, and maximum of the prompt's tokens.
     pub prompt_tokens: (f64, f64, f64),
-    /// The same of the answer's events.
+    /// Mean, standard deviation of the logarithm, and maximum of the answer's events.
     pub answer_events: (f64, f64, f64),
-    /// When the first event is late, in milliseconds.
+    /// Objective for the time to the first event, in milliseconds.
     pub objective_ms: f64,
-    /// The longest pause that is on time, in milliseconds.
+    /// Objective for the longest pause between events, in milliseconds.
     pub pause_ms: f64,
-    /// When its caller gives up, in milliseconds.
+    /// Time after which the caller cancels the request, in milliseconds.
     pub deadline_ms: f64,
-    /// What an answer on time and a late one are worth.
+    /// The worth of an answer on time, and of a late answer.
     pub worth: (f64, f64),
 }
 
-/// A span in which the kinds come more or less often.
+/// A span of time in which the arrival rates of the classes change.
 #[derive(Debug, Clone)]
 pub struct Surge {
-    /// When it starts and ends, in seconds.
-    pub span: (f64, f64),
-    /// What each kind's rate is multiplied by.
+    /// Start and end of the span, in seconds.
+    pub span_s: (f64, f64),
+    /// The factor of each class's rate.
     pub factors: Vec<f64>,
 }
 
 /// A deployment's day.
 #[derive(Debug, Clone)]
 pub struct DayPlan {
-    /// Its name.
+    /// The deployment's name.
     pub name: &'static str,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// How they work.
+    /// The speed and limits of each engine.
     pub profile: EngineProfile,
-    /// The kinds of prompts.
+    /// The classes of prompts.
     pub classes: Vec<PromptClass>,
-    /// How the rates change.
+    /// The surges; outside them all rates have the factor 1.
     pub surges: Vec<Surge>,
-    /// How long the day is, in seconds.
+    /// Duration of the day, in seconds.
     pub seconds: f64,
-    /// What all rates are multiplied by.
+    /// The factor of all rates.
     pub load: f64,
 }
 
-/// A prompt of a day.
+/// A prompt of the day.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct DayPrompt {
-    /// When it comes, in milliseconds.
+    /// Arrival time, in milliseconds.
     pub at_ms: f64,
-    /// Its kind.
+    /// Index of the class.
     pub class: usize,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u64,
-    /// Events of the answer.
+    /// Number of events in the answer.
     pub answer_events: u64,
-    /// The caller's guess of the answer's tokens.
+    /// The caller's estimate of the number of answer tokens.
     pub expected_tokens: u64,
 }
 
-/// The spread of the callers' guesses of the answer's length.
-const GUESS_SPREAD: f64 = 0.5;
+/// Standard deviation of the logarithm of the callers' estimates of the answer's length.
+const ESTIMATE_SPREAD: f64 = 0.5;
 
-fn normal(random: &mut StdRng) -> f64 {
+/// Draws from the standard normal distribution (Box-Muller).
+fn standard_normal(random: &mut StdRng) -> f64 {
     let (u, v): (f64, f64) = (random.random_range(1e-12..1.0), random.random());
     (-2.0 * u.ln()).sqrt() * (std::f64::consts::TAU * v).cos()
 }
 
-/// Draws from a logarithmic normal distribution with a given mean, cut at a maximum.
-fn draw(random: &mut StdRng, (mean, spread, max): (f64, f64, f64)) -> f64 {
-    let middle = mean.ln() - spread * spread / 2.0;
-    (middle + spread * normal(random)).exp().clamp(1.0, max)
+/// Draws from a log-normal distribution with a given mean, clamped between 1 and a maximum.
+fn draw_log_normal(random: &mut StdRng, (mean, spread, max): (f64, f64, f64)) -> f64 {
+    let log_mean = mean.ln() - spread * spread / 2.0;
+    (log_mean + spread * standard_normal(random)).exp().clamp(1.0, max)
 }
 
 impl DayPlan {
-    /// Draws the day's prompts, in order of time.
+    /// Draws the day's prompts, in order of arrival.
     pub fn prompts(&self, seed: u64) -> Vec<DayPrompt> {
         let mut random = StdRng::seed_from_u64(seed);
         let mut prompts = Vec::new();
         for (class, kind) in self.classes.iter().enumerate() {
-            let peak = self.surges.iter().map(|s| s.factors[class]).fold(1.0, f64::max);
-            let rate = kind.per_second * self.load * peak;
+            let peak_factor = self.surges.iter().map(|s| s.factors[class]).fold(1.0, f64::max);
+            let rate = kind.per_second * self.load * peak_factor;
             let mut at = 0.0;
+            // Draws at the peak rate and thins the arrivals to the rate of their time.
             loop {
                 at -= random.random_range(1e-12..1.0_f64).ln() / rate;
                 if at > self.seconds {
                     break;
                 }
-                if random.random::<f64>() * peak > self.factor(class, at) {
+                if random.random::<f64>() * peak_factor > self.rate_factor(class, at) {
                     continue;
                 }
-                let events = draw(&mut random, kind.answer_events).round().max(1.0);
+                let events = draw_log_normal(&mut random, kind.answer_events).round().max(1.0);
                 let tokens = events * f64::from(self.profile.steps_per_pass);
-                let guess = tokens * (GUESS_SPREAD * normal(&mut random)).exp();
+                let estimated_tokens =
+                    tokens * (ESTIMATE_SPREAD * standard_normal(&mut random)).exp();
                 prompts.push(DayPrompt {
                     at_ms: at * 1_000.0,
                     class,
-                    prompt_tokens: draw(&mut random, kind.prompt_tokens) as u64,
+                    prompt_tokens: draw_log_normal(&mut random, kind.prompt_tokens) as u64,
                     answer_events: events as u64,
-                    expected_tokens: guess.max(1.0) as u64,
+                    expected_tokens: estimated_tokens.max(1.0) as u64,
                 });
             }
         }
@@ -116,14 +119,14 @@
         prompts
     }
 
-    fn factor(&self, class: usize, at: f64) -> f64 {
-        let surge = self.surges.iter().find(|s| (s.span.0..s.span.1).contains(&at));
+    fn rate_factor(&self, class: usize, at: f64) -> f64 {
+        let surge = self.surges.iter().find(|s| (s.span_s.0..s.span_s.1).contains(&at));
         surge.map_or(1.0, |surge| surge.factors[class])
     }
 
-    /// The Agência's or Magnolia's present deployment, with three surges.
+    /// Returns a day of the present deployment of Agência or Magnolia, with three surges.
     pub fn present(name: &'static str, engines: usize, load: f64) -> Self {
-        let scale = engines as f64 / PRESENT_ENGINES;
+        let scale = engines as f64 / PRESENT_ENGINE_COUNT;
         let classes = vec![
             short_class(30.7 * scale, (1.3, 0.33)),
             medium_class(2.23 * scale, (3.1, 0.79)),
@@ -133,10 +136,10 @@
         Self { name, engines, profile, classes, surges: surges(), seconds: 34.0, load }
     }
 
-    /// A deployment with more long prompts, shorter than those of the others, on engines with half
-    /// of the memory.
+    /// Returns a day of a deployment with more, but shorter, long prompts than the others, on
+    /// engines with half of the memory.
     pub fn further(name: &'static str, engines: usize, load: f64) -> Self {
-        let scale = engines as f64 / FURTHER_ENGINES;
+        let scale = engines as f64 / FURTHER_ENGINE_COUNT;
         let short = PromptClass {
             answer_events: (31.6, 0.7, 79.1),
             pause_ms: 250.0,
@@ -169,9 +172,9 @@
         Self { name, engines, profile, classes, surges: surges(), seconds: 34.0, load }
     }
 
-    /// The same users' deployment when grown.
+    /// Returns a day of the same users' deployment when grown.
     pub fn grown(name: &'static str, engines: usize, load: f64) -> Self {
-        let scale = engines as f64 / GROWN_ENGINES;
+        let scale = engines as f64 / GROWN_ENGINE_COUNT;
         let classes = vec![
             short_class(76.7 * scale, (1.4, 0.34)),
             medium_class(7.03 * scale, (2.6, 0.66)),
@@ -182,10 +185,11 @@
     }
 }
 
-/// Engines of the Agência's deployments, for which its rates are given.
-const PRESENT_ENGINES: f64 = 14.0;
-const GROWN_ENGINES: f64 = 45.0;
-const FURTHER_ENGINES: f64 = 18.0;
+/// Number of engines in the deployments of Agência. The arrival rates are given for these numbers
+/// and scale with the number of engines.
+const PRESENT_ENGINE_COUNT: f64 = 14.0;
+const GROWN_ENGINE_COUNT: f64 = 45.0;
+const FURTHER_ENGINE_COUNT: f64 = 18.0;
 
 fn engine_profile(slots: u32, memory_tokens: u64, steps_per_pass: u32) -> EngineProfile {
     EngineProfile {
@@ -249,8 +253,8 @@
 
 fn surges() -> Vec<Surge> {
     vec![
-        Surge { span: (1.8, 11.3), factors: vec![0.3, 1.3, 2.7] },
-        Surge { span: (13.0, 22.5), factors: vec![2.5, 0.5, 0.05] },
-        Surge { span: (23.0, 32.5), factors: vec![0.35, 1.3, 2.8] },
+        Surge { span_s: (1.8, 11.3), factors: vec![0.3, 1.3, 2.7] },
+        Surge { span_s: (13.0, 22.5), factors: vec![2.5, 0.5, 0.05] },
+        Surge { span_s: (23.0, 32.5), factors: vec![0.35, 1.3, 2.8] },
     ]
 }
--- a/crates/experiment/src/fleet_run.rs
+++ b/crates/experiment/src/fleet_run.rs
@@ -1,4 +1,5 @@
-//! One day on engines that work in passes, under one policy.
+//! Simulates a day of a deployment under one placement policy. The engines work in passes: each
+//! pass runs several steps and emits one event for each answer.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -12,56 +13,56 @@
 
 use crate::fleet_day::{DayPlan, DayPrompt};
 
-/// From an entry to an engine or a home, in milliseconds.
+/// One-way network latency from an entry to an engine or a home, in milliseconds.
 const HOP_MS: f64 = 1.5;
 
-/// Who places prompts.
+/// The policy that places prompts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FleetPolicy {
-    /// The gateway's, which predicts.
+    /// The gateway's placement, which predicts the times of an answer.
     Predicting,
-    /// Each prompt to the engine with the fewest answers, read whole.
+    /// The engine with the fewest open answers, which processes the prompt alone.
     LeastOutstanding,
-    /// In turn, read whole.
+    /// The engines in round_robin_index. One engine processes the prompt alone.
     RoundRobin,
 }
 
-/// What became of the prompts of one kind.
+/// The outcomes of the prompts of one class.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ClassTally {
-    /// Prompts.
-    pub asked: u32,
-    /// Answered with all events on time.
+    /// Prompts that arrived.
+    pub arrived: u32,
+    /// Prompts with all events on time.
     pub on_time: u32,
-    /// Whose first event was late.
+    /// Prompts with a late first event.
     pub late_first: u32,
-    /// Whose first event was on time, and some pause was not.
+    /// Prompts with a first event on time and a pause above the objective.
     pub late_pause: u32,
-    /// Not answered.
+    /// Prompts that were refused, cancelled by the caller or answered after the deadline.
     pub lost: u32,
-    /// What was earned, and what was to be had.
+    /// Worth earned, and the worth of answering all prompts on time.
     pub worth: (f64, f64),
-    /// Predicted and actual time to the first event, in milliseconds.
+    /// Predicted and actual times to the first event, in milliseconds.
     pub first_ms: Vec<(f64, f64)>,
-    /// When those came that were late or lost, in seconds.
-    pub bad_at: Vec<f64>,
+    /// Arrival times of the prompts that were late or lost, in seconds.
+    pub late_or_lost_at_s: Vec<f64>,
 }
 
 /// The result of a day.
 #[derive(Debug, Clone, Default)]
 pub struct DayResult {
-    /// By kind.
+    /// The outcomes by class.
     pub classes: Vec<ClassTally>,
 }
 
 impl DayResult {
-    /// Returns what was earned, as a part of what was to be had.
+    /// Returns the earned worth as a ratio of the worth of answering all prompts on time.
     pub fn share(&self) -> f64 {
-        let (earned, owed) = self
+        let (earned, possible) = self
             .classes
             .iter()
             .fold((0.0, 0.0), |sum, class| (sum.0 + class.worth.0, sum.1 + class.worth.1));
-        earned / owed
+        earned / possible
     }
 }
 
@@ -71,37 +72,39 @@
     predicted_ms: f64,
     first_ms: Option<f64>,
     last_ms: f64,
-    longest_ms: f64,
-    /// When its objective began to count.
-    began_ms: f64,
-    is_second: bool,
+    longest_pause_ms: f64,
+    /// Start of the time that counts against the objective.
+    objective_start_ms: f64,
+    is_retry: bool,
 }
 
-/// A prompt on its way to engines.
+/// An attempt to place a prompt.
 #[derive(Debug, Clone)]
 struct Attempt {
     number: u64,
     at_ms: f64,
-    /// Until when engines are looked for.
-    waits_until: f64,
-    /// Whether it was refused before.
-    is_second: bool,
+    /// When the gateway stops searching for engines and refuses the prompt.
+    wait_ends_ms: f64,
+    /// Whether the prompt was refused before.
+    is_retry: bool,
     prompt: DayPrompt,
 }
 
-/// The part of its objective for which a gateway looks for engines.
-const WAIT_SHARE: f64 = 0.22;
+/// Maximum time for which a gateway searches for engines, as a ratio of the objective.
+const PLACEMENT_WAIT_RATIO: f64 = 0.22;
 
-/// The pause before it looks again; gateways look twice as often.
-const LOOK_AGAIN_MS: f64 = 50.0;
+/// Delay between searches for engines, in milliseconds. Gateways search twice as often.
+const PLACEMENT_RETRY_DELAY_MS: f64 = 50.0;
 
-/// When a caller comes back that was refused, as it is told.
-const COMES_BACK_MS: f64 = 4_000.0;
+/// Delay after which a refused caller sends the prompt again, in milliseconds. Refusals tell
+/// callers to retry after this delay.
+const CALLER_RETRY_DELAY_MS: f64 = 4_000.0;
 
-/// The part of its worth that a prompt costs which is refused again; the users' prices.
-const REFUSED_AGAIN_LOSS: f64 = 0.3;
+/// Cost of a second refusal as a ratio of the prompt's worth, in the users' price list.
+const SECOND_REFUSAL_COST_RATIO: f64 = 0.3;
 
-struct DayWorld<'a> {
+/// The state of a simulated day.
+struct DaySimulation<'a> {
     plan: &'a DayPlan,
     farm: EngineFarm,
     names: Vec<EndpointStart>,
@@ -109,43 +112,44 @@
     open: BTreeMap<u64, OpenPrompt>,
     result: DayResult,
     attempts: VecDeque<Attempt>,
-    turn: usize,
+    round_robin_index: usize,
 }
 
-/// Plays a day drawn from a seed.
+/// Simulates a day drawn from a seed.
 pub fn run_day(plan: &DayPlan, policy: FleetPolicy, seed: u64) -> DayResult {
     run_prompts(plan, policy, plan.prompts(seed))
 }
 
-/// Plays a day with given prompts, in order of time.
+/// Simulates a day with the given prompts, which are in order of arrival.
 pub fn run_prompts(plan: &DayPlan, policy: FleetPolicy, prompts: Vec<DayPrompt>) -> DayResult {
-    let mut world = DayWorld::new(plan);
+    let mut simulation = DaySimulation::new(plan);
     for (number, prompt) in prompts.into_iter().enumerate() {
-        let tally = &mut world.result.classes[prompt.class];
+        let tally = &mut simulation.result.classes[prompt.class];
         let class = &plan.classes[prompt.class];
-        tally.asked += 1;
+        tally.arrived += 1;
         tally.worth.1 += class.worth.0 * size_weight(&prompt, class.prompt_tokens.0);
-        let (at_ms, waits_until) = (prompt.at_ms, prompt.at_ms + class.objective_ms * WAIT_SHARE);
+        let (at_ms, wait_ends_ms) =
+            (prompt.at_ms, prompt.at_ms + class.objective_ms * PLACEMENT_WAIT_RATIO);
         let attempt =
-            Attempt { number: number as u64, at_ms, waits_until, is_second: false, prompt };
-        world.attempts.push_back(attempt);
+            Attempt { number: number as u64, at_ms, wait_ends_ms, is_retry: false, prompt };
+        simulation.attempts.push_back(attempt);
     }
     loop {
-        let next_end = world.farm.next_end();
-        let next_prompt = world.attempts.front().map(|attempt| attempt.at_ms);
+        let next_end = simulation.farm.next_end();
+        let next_prompt = simulation.attempts.front().map(|attempt| attempt.at_ms);
         match (next_prompt, next_end) {
             (Some(at), end) if end.is_none_or(|end| at <= end) => {
-                if let Some(attempt) = world.attempts.pop_front() {
-                    world.arrive(policy, attempt);
+                if let Some(attempt) = simulation.attempts.pop_front() {
+                    simulation.arrive(policy, attempt);
                 }
             }
-            (_, Some(end)) => world.work_until(end),
-            _ => return world.result,
+            (_, Some(end)) => simulation.advance_to(end),
+            _ => return simulation.result,
         }
     }
 }
 
-impl<'a> DayWorld<'a> {
+impl<'a> DaySimulation<'a> {
     fn new(plan: &'a DayPlan) -> Self {
         let names: Vec<EndpointStart> = (0..plan.engines)
             .map(|number| format!("e{number:02}").parse().expect("a valid name"))
@@ -173,7 +177,7 @@
             open: BTreeMap::new(),
             result: DayResult { classes: vec![ClassTally::default(); plan.classes.len()] },
             attempts: VecDeque::new(),
-            turn: 0,
+            round_robin_index: 0,
         }
     }
 
@@ -183,17 +187,18 @@
             self.refuse(attempt);
             return;
         };
-        let Attempt { number, prompt, is_second, .. } = attempt;
-        let read = PassPrompt {
+        let Attempt { number, prompt, is_retry, .. } = attempt;
+        let pass_prompt = PassPrompt {
             key: key(number),
             prompt_tokens: prompt.prompt_tokens,
-            parts: u32::try_from(placed.helpers.len() + 1).expect("a few parts"),
+            parts: u32::try_from(placed.helpers.len() + 1)
+                .expect("the number of parts fits in u32"),
             answer_tokens: prompt.answer_events * u64::from(self.plan.profile.steps_per_pass),
             priority: placed.engine_priority,
             tokens_at_helpers: placed.helpers.iter().filter_map(|h| h.reserve_tokens).sum(),
         };
-        self.work_until(now_ms);
-        if !self.farm.take(now_ms, &placed.main, &placed.helpers, &read) {
+        self.advance_to(now_ms);
+        if !self.farm.take(now_ms, &placed.main, &placed.helpers, &pass_prompt) {
             self.fleet.ended(time(now_ms), key(number));
             self.result.classes[prompt.class].lost += 1;
             return;
@@ -204,59 +209,60 @@
             predicted_ms: placed.first_event.as_secs_f64() * 1_000.0,
             first_ms: None,
             last_ms: attempt.at_ms,
-            longest_ms: 0.0,
-            began_ms: if is_second { attempt.at_ms } else { prompt.at_ms },
-            is_second,
+            longest_pause_ms: 0.0,
+            objective_start_ms: if is_retry { attempt.at_ms } else { prompt.at_ms },
+            is_retry,
             prompt,
         };
         self.open.insert(number, open);
     }
 
-    /// Looks again for a while, as gateways do; then the caller comes back once.
+    /// Schedules the next search for engines until the gateway's wait ends, then one retry by the
+    /// caller. A refusal of the retry loses the prompt.
     fn refuse(&mut self, attempt: Attempt) {
         let class = &self.plan.classes[attempt.prompt.class];
-        let again = if attempt.at_ms < attempt.waits_until {
-            Attempt { at_ms: attempt.at_ms + LOOK_AGAIN_MS, ..attempt }
-        } else if attempt.is_second {
+        let next_attempt = if attempt.at_ms < attempt.wait_ends_ms {
+            Attempt { at_ms: attempt.at_ms + PLACEMENT_RETRY_DELAY_MS, ..attempt }
+        } else if attempt.is_retry {
             let tally = &mut self.result.classes[attempt.prompt.class];
             tally.lost += 1;
             let weight = size_weight(&attempt.prompt, class.prompt_tokens.0);
-            tally.worth.0 -= class.worth.0 * weight * REFUSED_AGAIN_LOSS;
+            tally.worth.0 -= class.worth.0 * weight * SECOND_REFUSAL_COST_RATIO;
             return;
         } else {
-            let at_ms = attempt.at_ms + COMES_BACK_MS;
-            let waits_until = at_ms + class.objective_ms * WAIT_SHARE;
-            Attempt { at_ms, waits_until, is_second: true, ..attempt }
+            let at_ms = attempt.at_ms + CALLER_RETRY_DELAY_MS;
+            let wait_ends_ms = at_ms + class.objective_ms * PLACEMENT_WAIT_RATIO;
+            Attempt { at_ms, wait_ends_ms, is_retry: true, ..attempt }
         };
-        let at = self.attempts.partition_point(|other| other.at_ms <= again.at_ms);
-        self.attempts.insert(at, again);
+        let at = self.attempts.partition_point(|other| other.at_ms <= next_attempt.at_ms);
+        self.attempts.insert(at, next_attempt);
     }
 
     fn place(&mut self, policy: FleetPolicy, attempt: &Attempt) -> Option<PromptPlan> {
         let (number, prompt) = (attempt.number, &attempt.prompt);
         let class = &self.plan.classes[prompt.class];
-        let whole_ms = class.objective_ms;
-        let began_ms = if attempt.is_second {
-            attempt.waits_until - whole_ms * WAIT_SHARE
+        let objective_ms = class.objective_ms;
+        let objective_start_ms = if attempt.is_retry {
+            attempt.wait_ends_ms - objective_ms * PLACEMENT_WAIT_RATIO
         } else {
             prompt.at_ms
         };
-        let spent_ms = attempt.at_ms - began_ms;
+        let elapsed_ms = attempt.at_ms - objective_start_ms;
         let ask = PromptAsk {
             key: key(number),
             service: service(),
             prompt_tokens: prompt.prompt_tokens,
             answer_tokens: prompt.expected_tokens,
             max_answer_tokens: prompt.expected_tokens * 2,
-            objective: millis((whole_ms - spent_ms).max(0.0)),
-            whole_objective: millis(whole_ms),
+            objective: millis((objective_ms - elapsed_ms).max(0.0)),
+            whole_objective: millis(objective_ms),
             pause: millis(class.pause_ms),
             deadline: millis(class.deadline_ms - (attempt.at_ms - prompt.at_ms)),
-            patience: millis((attempt.waits_until - attempt.at_ms).max(0.0)),
+            patience: millis((attempt.wait_ends_ms - attempt.at_ms).max(0.0)),
             avoid: Vec::new(),
             is_suspect: false,
         };
-        let alone = |main: usize| {
+        let single_engine_plan = |main: usize| {
             Some(PromptPlan {
                 main: self.names[main].clone(),
                 helpers: Vec::new(),
@@ -271,94 +277,99 @@
                 let mut counts = vec![0; self.names.len()];
                 self.open.values().for_each(|open| counts[open.main] += 1);
                 let least = (0..counts.len()).min_by_key(|at| counts[*at])?;
-                alone(least)
+                single_engine_plan(least)
             }
             FleetPolicy::RoundRobin => {
-                self.turn = (self.turn + 1) % self.names.len();
-                alone(self.turn)
+                self.round_robin_index = (self.round_robin_index + 1) % self.names.len();
+                single_engine_plan(self.round_robin_index)
             }
         }
     }
 
-    fn work_until(&mut self, now_ms: f64) {
+    fn advance_to(&mut self, now_ms: f64) {
         for FarmEvent { at_ms, key, is_last } in self.farm.advance(now_ms) {
-            self.event(at_ms, key.number);
+            self.record_event(at_ms, key.number);
             if is_last {
-                self.ended(at_ms, key.number);
+                self.record_end(at_ms, key.number);
             }
         }
-        self.give_up(now_ms);
+        self.cancel_timed_out(now_ms);
     }
 
-    fn event(&mut self, now_ms: f64, number: u64) {
+    fn record_event(&mut self, now_ms: f64, number: u64) {
         let Some(open) = self.open.get_mut(&number) else { return };
-        let seen = now_ms + HOP_MS;
+        let seen_ms = now_ms + HOP_MS;
         if open.first_ms.is_some() {
-            open.longest_ms = open.longest_ms.max(seen - open.last_ms);
+            open.longest_pause_ms = open.longest_pause_ms.max(seen_ms - open.last_ms);
         } else {
-            open.first_ms = Some(seen - open.began_ms);
-            self.fleet.first_event(time(seen), key(number));
+            open.first_ms = Some(seen_ms - open.objective_start_ms);
+            self.fleet.first_event(time(seen_ms), key(number));
         }
-        open.last_ms = seen;
+        open.last_ms = seen_ms;
     }
 
-    fn ended(&mut self, now_ms: f64, number: u64) {
+    fn record_end(&mut self, now_ms: f64, number: u64) {
         let Some(open) = self.open.remove(&number) else { return };
         self.fleet.ended(time(now_ms + HOP_MS), key(number));
         self.farm.remove(key(number));
         let class = &self.plan.classes[open.prompt.class];
         let weight = size_weight(&open.prompt, class.prompt_tokens.0);
         let tally = &mut self.result.classes[open.prompt.class];
-        // The users give the mean of both where a refused caller is served in time after all.
-        let (whole, late) = class.worth;
-        let whole = if open.is_second { f64::midpoint(whole, late) } else { whole };
-        let on_time = tally.on_time;
+        // The users price an answer on time to a refused caller at the mean of both worths.
+        let (on_time_worth, late_worth) = class.worth;
+        let on_time_worth =
+            if open.is_retry { f64::midpoint(on_time_worth, late_worth) } else { on_time_worth };
+        let previous_on_time = tally.on_time;
         let first = open.first_ms.unwrap_or(f64::MAX);
         tally.first_ms.push((open.predicted_ms, first));
         if now_ms - open.prompt.at_ms > class.deadline_ms {
             tally.lost += 1;
         } else if first > class.objective_ms {
             tally.late_first += 1;
-            tally.worth.0 += late * weight;
-        } else if open.longest_ms > class.pause_ms {
+            tally.worth.0 += late_worth * weight;
+        } else if open.longest_pause_ms > class.pause_ms {
             tally.late_pause += 1;
-            tally.worth.0 += late * weight;
+            tally.worth.0 += late_worth * weight;
         } else {
             tally.on_time += 1;
-            tally.worth.0 += whole * weight;
+            tally.worth.0 += on_time_worth * weight;
         }
-        if tally.on_time == on_time {
-            tally.bad_at.push(open.prompt.at_ms / 1_000.0);
+        if tally.on_time == previous_on_time {
+            tally.late_or_lost_at_s.push(open.prompt.at_ms / 1_000.0);
         }
     }
 
-    /// Callers leave after a gap of two seconds, four objectives or eight pauses, whichever is
-    /// longest, or at their deadline.
-    fn give_up(&mut self, now_ms: f64) {
+    /// Cancels the prompts of callers that have timed out. Callers wait for an event for at most
+    /// two seconds, four times the objective or eight times the pause objective, whichever is
+    /// longest, and cancel at their deadline.
+    fn cancel_timed_out(&mut self, now_ms: f64) {
         let classes = &self.plan.classes;
-        let left: BTreeSet<u64> = self
+        let timed_out: BTreeSet<u64> = self
             .open
             .iter()
             .filter(|(_, open)| {
                 let class = &classes[open.prompt.class];
-                let patience = (class.objective_ms * 4.0).max(class.pause_ms * 8.0).max(2_000.0);
-                now_ms - open.last_ms > patience || now_ms - open.prompt.at_ms > class.deadline_ms
+                let idle_timeout_ms =
+                    (class.objective_ms * 4.0).max(class.pause_ms * 8.0).max(2_000.0);
+                now_ms - open.last_ms > idle_timeout_ms
+                    || now_ms - open.prompt.at_ms > class.deadline_ms
             })
             .map(|(number, _)| *number)
             .collect();
-        for number in left {
+        for number in timed_out {
             if let Some(open) = self.open.remove(&number) {
                 self.farm.remove(key(number));
                 self.fleet.ended(time(now_ms), key(number));
                 let tally = &mut self.result.classes[open.prompt.class];
                 tally.lost += 1;
-                tally.bad_at.push(open.prompt.at_ms / 1_000.0);
+                tally.late_or_lost_at_s.push(open.prompt.at_ms / 1_000.0);
             }
         }
     }
 }
 
-/// An answer is worth 0.3 + 0.7 times its size against the mean, four times at most.
+/// Returns the factor of an answer's worth by the prompt's size: 0.3 + 0.7 times the ratio of the
+/// prompt's tokens to the mean of its class, at most 4.
 fn size_weight(prompt: &DayPrompt, mean: f64) -> f64 {
     (0.3 + 0.7 * prompt.prompt_tokens as f64 / mean).min(4.0)
 }
--- a/crates/experiment/src/homes.rs
+++ b/crates/experiment/src/homes.rs
@@ -1,4 +1,4 @@
-//! The product's policy: one real home for each data centre.
+//! Places prompts by the product's policy: a [`HomeScheduler`] for each data centre.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -17,21 +17,22 @@
 use crate::farm::{EngineFarm, PlacedPrompt, engine_config};
 use crate::mix::{Arrival, LoadMix};
 
-/// How old a digest is when an entry uses it, at most.
-const DIGEST_EVERY: Duration = Duration::from_millis(200);
+/// Interval between digests of the homes, and so the maximum age of a digest that an entry uses.
+const DIGEST_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Homes with their engines.
+/// The homes, the daemons that schedule the engines of a data centre, and their open requests.
 pub struct HomesPolicy {
     homes: Vec<HomeScheduler>,
     digests: Vec<HomeDigest>,
     digests_due: MonotonicTime,
+    /// The home of each request.
     home_of: HashMap<usize, usize>,
     data_centres: usize,
     next_attempt: u64,
     attempts: HashMap<usize, AttemptId>,
     requests: HashMap<AttemptId, usize>,
-    seed_entry: usize,
-    /// Requests that a home refused, and whether another try may help.
+    entry_counter: usize,
+    /// Refused requests, and whether a retry may succeed.
     refused: Vec<(usize, bool)>,
 }
 
@@ -52,7 +53,7 @@
 }
 
 impl HomesPolicy {
-    /// Creates the homes and takes the engines in.
+    /// Creates the homes and announces the engines to them.
     pub fn new(mix: &LoadMix, config: &SchedulerConfig) -> Self {
         let mut homes: Vec<HomeScheduler> =
             (0..mix.data_centres).map(|_| HomeScheduler::new(config.clone())).collect();
@@ -70,22 +71,22 @@
             next_attempt: 0,
             attempts: HashMap::new(),
             requests: HashMap::new(),
-            seed_entry: 0,
+            entry_counter: 0,
             refused: Vec::new(),
         };
         for engine in 0..mix.engines {
-            policy.take_in(engine);
+            policy.announce_engine(engine);
         }
         policy
     }
 
-    fn take_in(&mut self, engine: usize) {
+    fn announce_engine(&mut self, engine: usize) {
         let config = engine_config();
         let announcement = EndpointAnnouncement {
             endpoint: format!("{engine}").parse().expect("a valid name"),
             incarnation: Incarnation(1),
             data_centre: data_centre(engine % self.data_centres),
-            address: "127.0.0.1:1".parse().expect("an address"),
+            address: "127.0.0.1:1".parse().expect("a valid address"),
             fenced: true,
             other_home_ms: None,
             kind: EndpointKind::Engine {
@@ -103,7 +104,7 @@
 
     pub(crate) fn submit(&mut self, now: MonotonicTime, request: usize, arrival: &Arrival) {
         if now >= self.digests_due {
-            self.digests_due = now + DIGEST_EVERY;
+            self.digests_due = now + DIGEST_INTERVAL;
             let digest = |(number, home): (usize, &HomeScheduler)| {
                 home.digest(&instance(number), &data_centre(number))
             };
@@ -113,9 +114,9 @@
         let attempt: AttemptId = format!("a-{}", self.next_attempt).parse().expect("a valid id");
         self.attempts.insert(request, attempt.clone());
         self.requests.insert(attempt.clone(), request);
-        self.seed_entry += 1;
-        let entry = self.seed_entry % self.data_centres;
-        let ask = GrantRequest {
+        self.entry_counter += 1;
+        let entry = self.entry_counter % self.data_centres;
+        let grant_request = GrantRequest {
             attempt,
             entry: instance(entry),
             account: account(arrival.account),
@@ -127,12 +128,12 @@
             prefix: Vec::new(),
             exclude: Vec::new(),
         };
-        let ranked = rank_homes(&ask, &data_centre(entry), self.digests.iter());
-        let home = ranked
-            .first()
-            .map_or(entry, |home| home.as_str()["home-".len()..].parse().expect("a number"));
+        let ranked = rank_homes(&grant_request, &data_centre(entry), self.digests.iter());
+        let home = ranked.first().map_or(entry, |home| {
+            home.as_str()["home-".len()..].parse().expect("the id ends in the home's number")
+        });
         self.home_of.insert(request, home);
-        self.homes[home].request_grant(now, ask);
+        self.homes[home].request_grant(now, grant_request);
     }
 
     pub(crate) fn first_token(&mut self, now: MonotonicTime, request: usize) {
@@ -146,13 +147,13 @@
         self.homes[home].release(now, &attempt, reason);
     }
 
-    /// Notes that a request's engine died; it will be submitted again.
-    pub(crate) fn lost(&mut self, now: MonotonicTime, request: usize) {
+    /// Releases a request whose engine has stopped. The caller submits the request again.
+    pub(crate) fn engine_lost(&mut self, now: MonotonicTime, request: usize) {
         let (home, attempt) = (self.home_of[&request], self.attempts[&request].clone());
         self.homes[home].release(now, &attempt, ReleaseReason::Abandoned);
     }
 
-    /// What happens regularly: heartbeats, renewals, the homes' ticks.
+    /// Sends the engines' heartbeats, renews the grants of open requests and ticks the homes.
     pub(crate) fn tick(&mut self, now: MonotonicTime, farm: &EngineFarm, engines: usize) {
         for engine in (0..engines).filter(|engine| farm.is_alive(*engine)) {
             let heartbeat = EndpointHeartbeat {
@@ -173,7 +174,7 @@
         }
     }
 
-    /// Returns what the homes decided since the last call.
+    /// Processes the homes' commands since the previous call. Returns the granted prompts.
     pub(crate) fn take_starts(&mut self, now: MonotonicTime) -> Vec<PlacedPrompt> {
         let mut starts = Vec::new();
         for home in &mut self.homes {
@@ -181,23 +182,24 @@
                 match command {
                     HomeCommand::Grant(grant) => {
                         let number = |m: &oriolepass_scheduler::GrantedEndpoint| {
-                            m.endpoint.as_str().parse().expect("a number")
+                            m.endpoint.as_str().parse().expect("the name is the engine's number")
                         };
                         let members =
                             grant.members.iter().map(|m| (number(m), m.reserved.0)).collect();
                         let request = self.requests[&grant.attempt];
                         starts.push(PlacedPrompt { request, members, priority: grant.priority });
                     }
-                    // Parts of a group are free as soon as the leading engine has ended here.
+                    // The farm has freed the parts of a group when the main engine ended, so the
+                    // engine holds nothing.
                     HomeCommand::Cancel { endpoint, .. } => {
                         home.held_streams(now, now, &endpoint, &[]);
                     }
                     HomeCommand::Refuse { attempt, refusal } => {
-                        let final_answer = matches!(
+                        let is_final = matches!(
                             refusal,
                             GrantRefusal::Busy { .. } | GrantRefusal::AccountBusy { .. }
                         );
-                        self.refused.push((self.requests[&attempt], !final_answer));
+                        self.refused.push((self.requests[&attempt], !is_final));
                     }
                     HomeCommand::Inspect { .. } => {}
                 }
@@ -206,19 +208,19 @@
         starts
     }
 
-    /// Returns the requests refused since the last call, and whether another try may help.
+    /// Returns the requests refused since the previous call, and whether a retry may succeed.
     pub(crate) fn take_refused(&mut self) -> Vec<(usize, bool)> {
         std::mem::take(&mut self.refused)
     }
 
-    pub(crate) fn forget(&mut self, request: usize) {
+    pub(crate) fn remove(&mut self, request: usize) {
         if let Some(attempt) = self.attempts.remove(&request) {
             self.requests.remove(&attempt);
         }
         self.home_of.remove(&request);
     }
 
-    /// Returns the class of a prompt, for the reports.
+    /// Returns the length class of a prompt.
     pub fn class(prompt: u64) -> LengthClass {
         LengthClass::of(TokenCount(prompt))
     }
--- a/crates/experiment/src/lib.rs
+++ b/crates/experiment/src/lib.rs
@@ -1,17 +1,18 @@
-//! Compares placement policies on small engine fakes in manual time. Not shipped.
+//! Compares placement policies on simulated engines in logical time. The crate is not shipped.
 //!
-//! The engines are [`oriolepass_standin::EngineModel`]s with a stated cost model, the prompts
-//! come from the mix files in `mixes/`, and one seed gives one result. The product's policy is
-//! the real [`oriolepass_scheduler::HomeScheduler`], one home for each data centre, with entries
-//! that choose between homes by digests that lag. The baselines place prompts on engines by the
-//! usual rules, on load reports that lag as well.
+//! The engines are [`oriolepass_standin::EngineModel`]s with the cost model of
+//! [`engine_config`]. The prompts are drawn from the mix files in `mixes/`. The same seed always
+//! gives the same result. The product's policy is [`oriolepass_scheduler::HomeScheduler`] itself:
+//! one home (the daemon that schedules the endpoints of a data centre) for each data centre, and
+//! entries (the daemons that receive requests) that choose a home by delayed digests of its load.
+//! The baselines place prompts on engines by common load-balancing rules, on delayed load reports.
 //!
-//! * [`LoadMix`] and [`Arrival`]: what is asked.
-//! * [`EngineFarm`]: the engines and the passing of time.
-//! * [`HomesPolicy`] and [`BaselinePolicy`]: who places what.
+//! * [`LoadMix`] and [`Arrival`]: the load, and the requests drawn from it.
+//! * [`EngineFarm`]: the engines and the logical clock.
+//! * [`HomesPolicy`] and [`BaselinePolicy`]: the placement policies.
 //! * [`DayPlan`], [`run_day`] and [`DayResult`]: days of the users' deployments on
 //!   [`oriolepass_placement::EngineFarm`], placed by the gateway's [`oriolepass_placement`].
-//! * [`run_policy`] and [`PolicyResult`]: one run and its figures.
+//! * [`run_policy`] and [`PolicyResult`]: one run and its metrics.
 
 mod baseline;
 mod farm;
--- a/crates/experiment/src/mix.rs
+++ b/crates/experiment/src/mix.rs
@@ -1,4 +1,4 @@
-//! Mixes of prompts, from files, and the arrivals drawn from them.
+//! Reads mixes of prompts from files and draws arrivals from them.
 
 use std::path::Path;
 
@@ -8,7 +8,7 @@
 use rand::{Rng, SeedableRng};
 use serde::Deserialize;
 
-/// Prompts of one range of lengths.
+/// A class of prompts: a range of prompt lengths and of answer lengths, in tokens.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MixClass {
@@ -19,27 +19,27 @@
     answer_max: u64,
 }
 
-/// One account.
+/// An account.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MixAccount {
-    /// Its part of the arrivals.
+    /// The account's part of the arrivals, relative to the other weights.
     pub weight: u32,
-    /// Its configured share.
+    /// The account's configured share of the engines.
     pub share: u32,
 }
 
-/// What a deployment is asked.
+/// The load of a deployment.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadMix {
-    /// Its name.
+    /// The deployment's name.
     pub name: String,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Data centres, over which the engines are spread.
+    /// Number of data centres, over which the engines are spread.
     pub data_centres: usize,
-    /// One-way latency to callers in milliseconds.
+    /// One-way latency to callers, in milliseconds.
     pub client_ms: u64,
     /// The accounts.
     pub accounts: Vec<MixAccount>,
@@ -47,32 +47,33 @@
     classes: Vec<MixClass>,
 }
 
-/// One request.
+/// An arriving request.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// When it arrives.
+    /// Arrival time.
     pub at: MonotonicTime,
-    /// Its account.
+    /// Index of the account in the mix.
     pub account: usize,
-    /// Tokens of prompt.
+    /// Tokens of the prompt.
     pub prompt: u64,
-    /// Tokens of answer.
+    /// Tokens of the answer.
     pub answer: u64,
 }
 
 impl LoadMix {
-    /// Reads a mix.
+    /// Reads a mix from a file.
     ///
     /// # Errors
     ///
-    /// Returns an error when the file cannot be read or is no mix.
+    /// Returns an error when the file cannot be read or parsed as a mix.
     pub fn load(file: &Path) -> Result<Self> {
         let text = std::fs::read_to_string(file)
-            .wrap_err_with(|| format!("{} cannot be read", file.display()))?;
-        serde_json::from_str(&text).wrap_err_with(|| format!("{} is no mix", file.display()))
+            .wrap_err_with(|| format!("failed to read {}", file.display()))?;
+        serde_json::from_str(&text)
+            .wrap_err_with(|| format!("failed to parse {} as a mix", file.display()))
     }
 
-    /// Returns the mean of a request's prompt and answer in tokens.
+    /// Returns the mean of a request's prompt and answer tokens together.
     pub fn mean_work(&self) -> f64 {
         let total: f64 = self.classes.iter().map(|class| class.part).sum();
         let mean = |class: &MixClass| {
@@ -82,8 +83,8 @@
         self.classes.iter().map(mean).sum::<f64>() / total
     }
 
-    /// Draws arrivals at `rate` a second for `seconds`; bursts come at three times the rate for
-    /// a quarter of the time.
+    /// Draws Poisson arrivals at `rate` per second for `seconds`. With `bursts`, the rate is
+    /// tripled for 2.5 s of every 10 s and divided by three for the rest, which keeps the mean.
     pub fn draw(&self, seed: u64, rate: f64, seconds: f64, bursts: bool) -> Vec<Arrival> {
         let mut random = StdRng::seed_from_u64(seed);
         let mut arrivals = Vec::new();
@@ -97,30 +98,30 @@
             };
             let uniform: f64 = random.random_range(f64::MIN_POSITIVE..1.0);
             at += -uniform.ln() / (rate * factor);
-            arrivals.push(self.draw_one(&mut random, at));
+            arrivals.push(self.draw_arrival(&mut random, at));
         }
         arrivals
     }
 
-    fn draw_one(&self, random: &mut StdRng, at: f64) -> Arrival {
+    fn draw_arrival(&self, random: &mut StdRng, at: f64) -> Arrival {
         let total: f64 = self.classes.iter().map(|class| class.part).sum();
-        let mut pick = random.random_range(0.0..total);
+        let mut class_draw = random.random_range(0.0..total);
         let class = self
             .classes
             .iter()
             .find(|class| {
-                pick -= class.part;
-                pick <= 0.0
+                class_draw -= class.part;
+                class_draw <= 0.0
             })
             .unwrap_or(&self.classes[0]);
         let weights: u32 = self.accounts.iter().map(|account| account.weight).sum();
-        let mut place = random.random_range(0..weights);
+        let mut account_draw = random.random_range(0..weights);
         let account = self
             .accounts
             .iter()
-            .position(|account| match place.checked_sub(account.weight) {
+            .position(|account| match account_draw.checked_sub(account.weight) {
                 Some(left) => {
-                    place = left;
+                    account_draw = left;
                     false
                 }
                 None => true,
