--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -107,8 +107,8 @@
     /// Returns whether a header is end-to-end even if the caller lists it in the Connection header
     /// as hop-by-hop.
     pub is_essential: fn(&HeaderName) -> bool,
-    /// Builds the call that reserves memory, from the reservation's id, its tokens and how long it is
-    /// held.
+    /// Builds the call that reserves memory, from the reservation's id, its tokens and how long it
+    /// is held.
     pub reserve: fn(&str, u64, Duration) -> EndpointCall,
     /// Builds the call that releases a reservation.
     pub release: fn(&str) -> EndpointCall,
--- a/crates/gateway/src/founding.rs
+++ b/crates/gateway/src/founding.rs
@@ -1,5 +1,5 @@
-//! Selects voters: the first voters of a new system, and the replacements of lost voters. A voter is a
-//! replica that votes in elections and counts towards the majority that commits an entry.
+//! Selects voters: the first voters of a new system, and the replacements of lost voters. A voter
+//! is a replica that votes in elections and counts towards the majority that commits an entry.
 //!
 //! Only one system may ever form. An empty replica that may found a system waits until the daemons
 //! have discovered each other. Then the daemon with the lowest id chooses the first voters, and the
@@ -23,15 +23,16 @@
 /// After this time the system is founded even with fewer voters than the tolerance requires.
 const MAX_SURVEY_TIME: Duration = Duration::from_secs(6);
 
-/// A voter that has been silent for this long is replaced if a spare daemon with a disk is available.
-/// This is longer than an election and a quick restart, and shorter than the time allowed for a
-/// repair.
+/// A voter that has been silent for this long is replaced if a spare daemon with a disk is
+/// available. This is longer than an election and a quick restart, and shorter than the time
+/// allowed for a repair.
 const VOTER_REPLACEMENT_TIMEOUT: Duration = Duration::from_millis(1_800);
 
 /// Returns the number of voters that tolerates the losses in the settings.
 ///
-/// The loss of a data centre removes all its voters, as many as each data centre holds when the voters
-/// are spread evenly. With three data centres any odd number of voters tolerates the loss of one.
+/// The loss of a data centre removes all its voters, as many as each data centre holds when the
+/// voters are spread evenly. With three data centres any odd number of voters tolerates the loss of
+/// one.
 pub(crate) fn voter_count(tolerance: &ToleranceSettings) -> usize {
     2 * tolerance.instances.max(tolerance.data_centres).max(1) + 1
 }
--- a/crates/gateway/src/front/caller.rs
+++ b/crates/gateway/src/front/caller.rs
@@ -1,5 +1,5 @@
-//! Handles one request of a caller: reads it, looks up its route and key, sends it to an endpoint and
-//! returns the answer.
+//! Handles one request of a caller: reads it, looks up its route and key, sends it to an endpoint
+//! and returns the answer.
 
 use std::cell::{Cell, OnceCell};
 use std::rc::Rc;
@@ -43,8 +43,8 @@
 /// precedence.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The maximum number of bytes of a rejected body that are read and discarded, so that the caller can
-/// read the answer.
+/// The maximum number of bytes of a rejected body that are read and discarded, so that the caller
+/// can read the answer.
 const MAX_DISCARDED_BYTES: usize = 16 * 1024 * 1024;
 
 /// The time-out of reading and discarding a rejected body.
@@ -81,14 +81,14 @@
 }
 
 impl CallerRequest {
-    /// Returns the remaining time of the request. Suspensions count, so that a machine that resumes from
-    /// one does not send requests whose callers have given up.
+    /// Returns the remaining time of the request. Suspensions count, so that a machine that resumes
+    /// from one does not send requests whose callers have given up.
     pub(super) fn time_left(&self) -> Duration {
         self.clock_deadline.since(self.buffered.gateway.now())
     }
 
-    /// Returns the digest that identifies the request across its attempts. The digest is computed on
-    /// first use, since most requests are never suspect.
+    /// Returns the digest that identifies the request across its attempts. The digest is computed
+    /// on first use, since most requests are never suspect.
     pub(super) fn digest(&self) -> RequestDigest {
         *self.digest.get_or_init(|| {
             let host = self.headers.get(HOST).and_then(|host| host.to_str().ok());
--- a/crates/gateway/src/front/events.rs
+++ b/crates/gateway/src/front/events.rs
@@ -1,5 +1,5 @@
-//! Splits a server-sent event stream into complete events, so that a caller never receives part of an
-//! event twice when the stream is resumed at another endpoint.
+//! Splits a server-sent event stream into complete events, so that a caller never receives part of
+//! an event twice when the stream is resumed at another endpoint.
 
 use bytes::{Buf, Bytes, BytesMut};
 
--- a/crates/gateway/src/front/listener.rs
+++ b/crates/gateway/src/front/listener.rs
@@ -1,5 +1,5 @@
-//! Accepts callers' connections, closes slow and idle connections, and closes all connections when the
-//! process stops.
+//! Accepts callers' connections, closes slow and idle connections, and closes all connections when
+//! the process stops.
 
 use std::cell::Cell;
 use std::convert::Infallible;
--- a/crates/gateway/src/front/refusal.rs
+++ b/crates/gateway/src/front/refusal.rs
@@ -26,8 +26,8 @@
         Self { status, reason, remedy: remedy.into(), retry_after: None, closes: false }
     }
 
-    /// Creates the refusal of a request that has not run and never will. The caller may send it again
-    /// after `retry_after`.
+    /// Creates the refusal of a request that has not run and never will. The caller may send it
+    /// again after `retry_after`.
     pub(super) fn not_run(reason: &'static str, retry_after: Duration) -> Self {
         let remedy = "the request was not run; send it again after the time given";
         Self {
--- a/crates/gateway/src/front/reserve.rs
+++ b/crates/gateway/src/front/reserve.rs
@@ -1,12 +1,12 @@
-//! Reserves memory on several engines for a prompt that no single engine can ttl.
+//! Reserves memory on several engines for a prompt that no single engine can hold.
 //!
 //! Reservations are short-lived and renewed while the prompt is active, so that memory is soon
-//! released when the holder of a reservation crashes. Either all parts are reserved or none. Engines
-//! answer immediately and no request waits while it holds another part, so two prompts cannot
-//! deadlock.
+//! released when the holder of a reservation crashes. Either all parts are reserved or none.
+//! Engines answer immediately and no request waits while it holds another part, so two prompts
+//! cannot deadlock.
 //!
-//! An order (a reserve or release call) without an answer may take effect seconds later, even after a
-//! newer order. A single release is therefore not sufficient once an order went unanswered: the
+//! An order (a reserve or release call) without an answer may take effect seconds later, even after
+//! a newer order. A single release is therefore not sufficient once an order went unanswered: the
 //! release is repeated until no earlier order can take effect any more.
 
 use std::cell::Cell;
@@ -32,8 +32,8 @@
 /// The time after which an unanswered order can no longer take effect. The platform specifies 12 s.
 const ORDER_EFFECT_TIMEOUT: Duration = Duration::from_millis(13_000);
 
-/// The interval between repeated releases. It is well below the 4 s for which memory may stay reserved
-/// after its last use.
+/// The interval between repeated releases. It is well below the 4 s for which memory may stay
+/// reserved after its last use.
 const RELEASE_RESEND_INTERVAL: Duration = Duration::from_millis(1_500);
 
 #[derive(Debug, Clone)]
@@ -120,8 +120,8 @@
     ttl: Duration,
     unanswered: &Cell<Option<Instant>>,
 ) -> bool {
-    // The orders count as unanswered until all answers have arrived, since this future may be dropped
-    // before that.
+    // The orders count as unanswered until all answers have arrived, since this future may be
+    // dropped before that.
     let previous = unanswered.replace(Some(Instant::now()));
     let mut calls = JoinSet::new();
     for part in parts {
--- a/crates/gateway/src/front/sends.rs
+++ b/crates/gateway/src/front/sends.rs
@@ -45,17 +45,18 @@
         reason: String,
         endpoint: EndpointStart,
     },
-    /// The request was not sent, because the selected endpoint has announced in the meantime that it
-    /// leaves.
+    /// The request was not sent, because the selected endpoint has announced in the meantime that
+    /// it leaves.
     Leaving(EndpointStart),
     /// No endpoint was selected.
     NoPlacement(NoPlacement),
-    /// The request must not be sent now. Holds the reason and the time after which the caller should
-    /// retry.
+    /// The request must not be sent now. Holds the reason and the time after which the caller
+    /// should retry.
     Blocked(&'static str, Duration),
 }
 
-/// Sends a request once. A send of a repeatable request is abandoned as soon as its endpoint is gone.
+/// Sends a request once. A send of a repeatable request is abandoned as soon as its endpoint is
+/// gone.
 ///
 /// The answer to any other request is awaited even then: the request may have run and may still be
 /// answered, and it cannot be sent to another endpoint.
--- a/crates/gateway/src/front/starting_tests.rs
+++ b/crates/gateway/src/front/starting_tests.rs
@@ -1,5 +1,5 @@
-//! Tests how long requests may wait in a starting daemon, to which all callers reconnect at once after
-//! a loss of all daemons.
+//! Tests how long requests may wait in a starting daemon, to which all callers reconnect at once
+//! after a loss of all daemons.
 
 use std::time::Duration;
 
--- a/crates/gateway/src/front/stream.rs
+++ b/crates/gateway/src/front/stream.rs
@@ -175,8 +175,8 @@
         }
     }
 
-    /// Forwards one endpoint's events until the stream ends or is resumed at another endpoint. Returns
-    /// the stream of the other endpoint.
+    /// Forwards one endpoint's events until the stream ends or is resumed at another endpoint.
+    /// Returns the stream of the other endpoint.
     async fn forward_from(
         &mut self,
         mut open: Box<OpenStream>,
@@ -206,8 +206,8 @@
         }
     }
 
-    /// Waits for an endpoint's next events. A stream that can be resumed elsewhere counts as broken once
-    /// its endpoint is gone.
+    /// Waits for an endpoint's next events. A stream that can be resumed elsewhere counts as broken
+    /// once its endpoint is gone.
     async fn next_piece(&self, open: &mut OpenStream) -> NextEvents {
         if !self.can_resume() {
             return open.source.next().await;
@@ -218,7 +218,8 @@
         piece.unwrap_or_else(|| NextEvents::Broken("the endpoint is gone".to_owned()))
     }
 
-    /// Records that an endpoint's stream broke, and probes whether the endpoint's process has ended.
+    /// Records that an endpoint's stream broke, and probes whether the endpoint's process has
+    /// ended.
     async fn record_broken(&self, open: &OpenStream) {
         let (endpoint, address) = (&open.placement.endpoint, open.placement.address);
         endpoint_failed(&self.gateway, &self.request, endpoint, FaultKind::Broken);
@@ -267,9 +268,9 @@
         Err(ForwardEnd::Broken(format!("{reason}; then {next}")))
     }
 
-    /// Tries to resume a silent stream at another endpoint without closing the current stream. Silence
-    /// does not prove a failure, and the current endpoint may still send events. Returns the stream of
-    /// the other endpoint if its first event arrives before the silence ends.
+    /// Tries to resume a silent stream at another endpoint without closing the current stream.
+    /// Silence does not prove a failure, and the current endpoint may still send events. Returns
+    /// the stream of the other endpoint if its first event arrives before the silence ends.
     async fn resume_silent_stream(
         &mut self,
         open: &mut OpenStream,
--- a/crates/gateway/src/front/tries.rs
+++ b/crates/gateway/src/front/tries.rs
@@ -1,10 +1,10 @@
-//! Implements the retry and hedging policy of a request: decides after each send whether the request
-//! is sent again, answered or refused.
+//! Implements the retry and hedging policy of a request: decides after each send whether the
+//! request is sent again, answered or refused.
 //!
 //! If an endpoint states that it did not run the request, or if no connection was established, the
-//! request has not run. It may be sent to another endpoint, or be refused as not run. After any other
-//! failure the request may have run. In that case only an idempotent request, or a stream that can be
-//! resumed after its last event, is sent again. Any other request fails immediately.
+//! request has not run. It may be sent to another endpoint, or be refused as not run. After any
+//! other failure the request may have run. In that case only an idempotent request, or a stream
+//! that can be resumed after its last event, is sent again. Any other request fails immediately.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -37,9 +37,9 @@
 /// The time for which a request waits for another endpoint after its endpoint was lost.
 const ENDPOINT_WAIT_AFTER_LOSS: Duration = Duration::from_millis(500);
 
-/// The part of the objective after which an idempotent call without an answer is also sent to a second
-/// endpoint. It is far above the usual duration of a call and leaves time for the second answer to
-/// meet the objective.
+/// The part of the objective after which an idempotent call without an answer is also sent to a
+/// second endpoint. It is far above the usual duration of a call and leaves time for the second
+/// answer to meet the objective.
 const CALL_HEDGE_SHARE: f64 = 0.65;
 
 /// A stream's first event is overdue after this multiple of its predicted time, plus
@@ -52,20 +52,20 @@
 /// The minimum time until a stream's first event is overdue, as a multiple of the objective.
 const FIRST_EVENT_OBJECTIVE_RATIO: f64 = 1.2;
 
-/// The minimum remaining time for a hedged send. With less time, a second endpoint would not answer in
-/// time either.
+/// The minimum remaining time for a hedged send. With less time, a second endpoint would not answer
+/// in time either.
 const MIN_HEDGE_TIME_LEFT: Duration = Duration::from_millis(150);
 
 /// The hedge time-out of requests that are not hedged. It is longer than any request.
 const UNHEDGED_TIMEOUT: Duration = Duration::from_secs(24 * 3_600);
 
-/// The `Retry-After` of refusals because a service's endpoints are full. It is also used for refusals
-/// without a delay of their own.
+/// The `Retry-After` of refusals because a service's endpoints are full. It is also used for
+/// refusals without a delay of their own.
 const FULL_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// The delay after the end of an endpoint before a request that ran there is judged by the quarantine.
-/// Other requests that ran at the endpoint may belong to other instances, whose reports arrive within
-/// a few hops.
+/// The delay after the end of an endpoint before a request that ran there is judged by the
+/// quarantine. Other requests that ran at the endpoint may belong to other instances, whose reports
+/// arrive within a few hops.
 const END_REPORT_GRACE: Duration = Duration::from_millis(40);
 
 /// The reason for refusing a quarantined request.
@@ -97,8 +97,8 @@
 }
 
 impl SendHistory {
-    /// Creates a request's history. `start_wait` is how long the request may wait for this daemon to
-    /// start.
+    /// Creates a request's history. `start_wait` is how long the request may wait for this daemon
+    /// to start.
     pub(super) fn new(request: &CallerRequest, start_wait: Duration) -> Self {
         let wait = request.route.objective.mul_f64(ENDPOINT_WAIT_SHARE).max(start_wait);
         Self {
@@ -124,8 +124,8 @@
         self.runs() > 0
     }
 
-    /// Records that a stream broke or fell silent after its first event, before it is resumed at another
-    /// endpoint.
+    /// Records that a stream broke or fell silent after its first event, before it is resumed at
+    /// another endpoint.
     pub(super) fn record_broken_stream(
         &mut self,
         endpoint: EndpointStart,
@@ -164,9 +164,9 @@
         }
     }
 
-    /// Sends a request, and also sends it to a second endpoint if the first endpoint does not answer
-    /// in time and the request may run twice. The first answer is used. The first send is not
-    /// abandoned, since the second endpoint may be no faster than a slow first endpoint.
+    /// Sends a request, and also sends it to a second endpoint if the first endpoint does not
+    /// answer in time and the request may run twice. The first answer is used. The first send is
+    /// not abandoned, since the second endpoint may be no faster than a slow first endpoint.
     async fn send_hedged(
         &mut self,
         gateway: &Rc<Gateway>,
@@ -220,7 +220,8 @@
         if first_ended { second.await } else { first.await }
     }
 
-    /// Returns the outcome of the request after a send, or `None` if the request is to be sent again.
+    /// Returns the outcome of the request after a send, or `None` if the request is to be sent
+    /// again.
     async fn conclude(
         &mut self,
         gateway: &Gateway,
@@ -301,7 +302,8 @@
         Some(self.give_up(reason, after))
     }
 
-    /// Returns the outcome of a request without an answer. It states whether the request may have run.
+    /// Returns the outcome of a request without an answer. It states whether the request may have
+    /// run.
     fn give_up(&mut self, reason: &'static str, retry_after: Duration) -> RequestOutcome {
         if let Some(failure) = self.failure.take() {
             return RequestOutcome::Answer(failure);
@@ -335,9 +337,9 @@
         }
         // In the meantime, an endpoint may have ended under the same request at another instance.
         self.check_quarantine(gateway, request).await?;
-        // Only sends after the request may have reached an endpoint use the retry budget. Searches that
-        // find no endpoint and sends to endpoints that are gone must not exhaust the budget of other
-        // requests.
+        // Only sends after the request may have reached an endpoint use the retry budget. Searches
+        // that find no endpoint and sends to endpoints that are gone must not exhaust the budget of
+        // other requests.
         if self.attempts.deliveries() > 0 && !take_from_budget(gateway, request).await {
             return Err(SendOutcome::Blocked("retry budget used up", FULL_RETRY_AFTER));
         }
@@ -348,8 +350,8 @@
     }
 
     /// Refuses a quarantined request, which ends the processes of its endpoints. The limit of sends
-    /// applies to one attempt at one instance, so without the quarantine each repeated attempt of the
-    /// caller would end as many endpoints again.
+    /// applies to one attempt at one instance, so without the quarantine each repeated attempt of
+    /// the caller would end as many endpoints again.
     async fn check_quarantine(
         &mut self,
         gateway: &Gateway,
@@ -369,8 +371,8 @@
         Err(SendOutcome::Blocked(QUARANTINED, trial_in.max(FULL_RETRY_AFTER)))
     }
 
-    /// Returns the time without an answer's head, or a stream's first event, after which the request is
-    /// hedged.
+    /// Returns the time without an answer's head, or a stream's first event, after which the
+    /// request is hedged.
     fn hedge_timeout(&self, request: &CallerRequest, placement: &Placement) -> Duration {
         if !request.route.repeat.may_repeat() || self.attempts.runs() >= request.route.max_attempts
         {
--- a/crates/gateway/src/front/try_lines.rs
+++ b/crates/gateway/src/front/try_lines.rs
@@ -79,8 +79,8 @@
         .text("reason", reason)
 }
 
-/// Lists the addresses of the helpers that read parts of a prompt. Returns `None` if one engine reads
-/// the whole prompt.
+/// Lists the addresses of the helpers that read parts of a prompt. Returns `None` if one engine
+/// reads the whole prompt.
 fn helped_by(placement: &Placement) -> Option<String> {
     let addresses: Vec<String> =
         placement.helpers.iter().map(|helper| helper.address.to_string()).collect();
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -1,11 +1,12 @@
 //! Dissemination rules that keep control traffic proportional to the number of instances.
 //!
-//! In a mesh, every daemon has a link to every other daemon, so a message from each to each grows
-//! with the square of their number. Only a few daemons therefore send what most would only repeat:
-//! the list of known daemons, the endpoints, and the newest routing document. Each rule recovers
-//! from messages that those few failed to send, and needs no agreement on which daemons they are.
-//! In a minute under load, 200 daemons send each other 452 MB without these rules, and 216 MB with
-//! the rules for member lists, new links and documents.
+//! In a mesh, every daemon has a link to every other daemon, so the number of messages that every
+//! daemon sends to every other grows with the square of the number of daemons. State that most
+//! daemons hold equally (the list of known daemons, the endpoints, and the newest routing document)
+//! is therefore sent by only a few of them. Each rule recovers from messages that those few failed
+//! to send, and needs no agreement on which daemons they are. In a minute under load, 200 daemons
+//! send each other 452 MB without these rules, and 216 MB with the rules for member lists, new
+//! links and documents.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{Hash, Hasher};
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -8,8 +8,8 @@
 //! | module | responsibility |
 //! |---|---|
 //! | `cluster`, `roster`, `founding`, `replica`, `replication`, `peers` | the cluster: membership, leader, voters, the replicated log, messages between daemons |
-//! | `documents` | routing documents: proposing them, putting them into force, proving them current |
-//! | `gossip` | which daemon sends what to which others, so that control traffic grows with the number of daemons and not with its square |
+//! | `documents` | routing documents: proposing them, putting them in force, proving them current |
+//! | `gossip` | the dissemination rules, by which control traffic grows with the number of daemons and not with its square |
 //! | `announce`, `endpoints` | endpoint announcements and the registry of endpoints |
 //! | `home`, `deputies` | placing prompts on engines, as the home or by asking it; the deputies that replace the home while it does not answer |
 //! | `balancer`, `budget` | load balancing over endpoints that are not engines; the retry budget |
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -35,7 +35,8 @@
     Done(RegisterOutcome),
     /// The queried daemon does not lead; it returns the leader if it knows it.
     NotLeader(Option<InstanceId>),
-    /// The queried daemon lost leadership after it proposed the document, so the outcome is unknown.
+    /// The queried daemon lost leadership after it proposed the document, so the outcome is
+    /// unknown.
     Lost,
 }
 
--- a/crates/gateway/src/quarantine_disk.rs
+++ b/crates/gateway/src/quarantine_disk.rs
@@ -1,10 +1,11 @@
-//! Storage of quarantine cases on disk, so that quarantined requests are still known after all processes
-//! have ended.
+//! Storage of quarantine cases on disk, so that quarantined requests are still known after all
+//! processes have ended.
 //!
-//! The storage is best effort: if it loses a request, that request costs as many ends of endpoints as
-//! one that is seen for the first time. It therefore needs neither the replicated log nor consensus,
-//! and a disk that fails is only reported, by the replica of the log. Requests under which one endpoint
-//! ended and that were not answered since are not stored, because most of them did not cause that end.
+//! The storage is best effort: if it loses a request, that request costs as many ends of endpoints
+//! as a request that is seen for the first time. It therefore needs neither the replicated log nor
+//! consensus, and a disk that fails is only reported, by the replica of the log. Requests under
+//! which one endpoint ended and that were not answered since are not stored, because most of them
+//! did not cause that end.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -20,8 +21,8 @@
 /// The name of the temporary file, which replaces the file once it is complete.
 const DRAFT_NAME: &str = "quarantined.draft";
 
-/// The maximum number of changes that wait for a slow disk. The newest change holds the whole state. One
-/// that does not fit is dropped, and the next change replaces it.
+/// The maximum number of changes that wait for a slow disk. The newest change holds the whole
+/// state. A change that does not fit is dropped, and the next change replaces it.
 const MAX_QUEUED_CHANGES: usize = 4;
 
 /// The handle of the thread that stores quarantine cases on disk.
@@ -46,14 +47,16 @@
         Ok((Self { changes }, loaded))
     }
 
-    /// Replaces the stored cases with these. Never blocks.
+    /// Replaces the stored cases with `cases`. Never blocks.
     pub(crate) fn store(&self, cases: Vec<CaseUpdate>) {
-        // The queue is full if the disk is slow; the next change holds all that this one does.
+        // The queue is full if the disk is slow; the next change contains all that this change
+        // does.
         let _ = self.changes.try_send(cases);
     }
 }
 
-/// Reads the cases that an earlier process stored. Returns none if there is no file or it cannot be read.
+/// Reads the cases that an earlier process stored. Returns none if there is no file or it cannot be
+/// read.
 fn read(folder: &Path) -> Vec<CaseUpdate> {
     let bytes = fs::read(folder.join(FILE_NAME)).unwrap_or_default();
     postcard::from_bytes(&bytes).unwrap_or_default()
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -1,4 +1,5 @@
-//! The roster of the other daemons: their own reports, and when each daemon was last heard from.
+//! The roster of the other daemons: the notes in which they report their state, and when each
+//! daemon was last heard from.
 //!
 //! A daemon starts with a few seeds only. It greets them, they answer with the daemons that they
 //! know, and it greets those daemons too. Greetings repeat, so the roster recovers by itself after
@@ -40,7 +41,7 @@
     pub(crate) voters: Vec<InstanceId>,
 }
 
-/// A daemon's report of its own state.
+/// A daemon's note, in which it reports its own state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct DaemonNote {
     pub(crate) instance: InstanceId,
@@ -93,10 +94,10 @@
     added: MonotonicTime,
 }
 
-/// The effect of a daemon's report on the roster.
+/// The effect of a daemon's note on the roster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RosterChange {
-    /// The report is the first from the daemon, or the first since its restart.
+    /// The note is the first from the daemon, or the first since its restart.
     Met,
     /// The phase or the replica of the daemon has changed.
     Changed,
@@ -123,7 +124,7 @@
         true
     }
 
-    /// Records a daemon's report of its own state.
+    /// Records a daemon's note.
     pub(crate) fn update(&mut self, now: MonotonicTime, note: DaemonNote) -> RosterChange {
         self.add(now, &note.instance);
         let Some(entry) = self.entries.get_mut(&note.instance) else {
@@ -142,10 +143,11 @@
         change
     }
 
-    /// Records that a daemon is alive with an unchanged report; returns whether that is known here.
+    /// Records that a daemon is alive with an unchanged note; returns whether that note is known
+    /// here.
     ///
-    /// If the report was lost in transit, nothing is recorded: the daemon looks silent until it
-    /// sends the whole report again.
+    /// If the note was lost in transit, nothing is recorded: the daemon looks silent until it
+    /// sends the whole note again.
     pub(crate) fn record_presence(
         &mut self,
         now: MonotonicTime,
@@ -263,12 +265,12 @@
         self.entries.get(instance)
     }
 
-    /// Returns the reports of the daemons heard from within [`SILENCE_TIMEOUT`].
+    /// Returns the notes of the daemons heard from within [`SILENCE_TIMEOUT`].
     pub(crate) fn alive(&self, now: MonotonicTime) -> impl Iterator<Item = &DaemonNote> {
         self.alive_within(now, SILENCE_TIMEOUT)
     }
 
-    /// Returns the reports of the daemons heard from within `span`.
+    /// Returns the notes of the daemons heard from within `span`.
     pub(crate) fn alive_within(
         &self,
         now: MonotonicTime,
@@ -286,7 +288,7 @@
             .map_or(Duration::MAX, |entry| now.since(entry.last_heard.unwrap_or(entry.added)))
     }
 
-    /// Returns the leader with the highest term among the reports of live replicas.
+    /// Returns the leader with the highest term among the notes of live replicas.
     pub(crate) fn leader(&self, now: MonotonicTime) -> Option<(LeaderTerm, InstanceId)> {
         self.alive(now)
             .filter_map(|note| note.replica.as_ref())
@@ -294,7 +296,7 @@
             .max_by_key(|(term, _)| *term)
     }
 
-    /// Returns the voters from the report of the live replica with the highest term.
+    /// Returns the voters from the note of the live replica with the highest term.
     pub(crate) fn voters(&self, now: MonotonicTime) -> Vec<InstanceId> {
         self.alive(now)
             .filter_map(|note| note.replica.as_ref())
--- a/crates/gateway/src/roster_tests.rs
+++ b/crates/gateway/src/roster_tests.rs
@@ -40,15 +40,15 @@
     assert_eq!(roster.alive(at(2_001) + SILENCE_TIMEOUT).count(), 0, "silent since");
 }
 
-// Guards against a lost report that stays unnoticed, such as that a daemon is leaving.
+// Guards against a lost note that stays undetected, such as one that reports that a daemon leaves.
 #[test]
 fn a_presence_report_with_an_unknown_edition_does_not_keep_a_daemon_alive() {
     let mut roster = DaemonRoster::default();
     roster.update(at(0), note(DaemonPhase::Ready, 1));
-    // The report with edition 2 was lost; the daemon may be leaving.
+    // The note with edition 2 was lost; the daemon may be leaving.
     roster.record_presence(at(2_000), &instance(), 7, 2);
     assert_eq!(roster.alive(at(1) + SILENCE_TIMEOUT).count(), 0);
-    // A report of another start of the daemon does not keep this start alive either.
+    // A presence report of another start of the daemon does not keep this start alive either.
     roster.record_presence(at(2_100), &instance(), 8, 1);
     assert_eq!(roster.alive(at(1) + SILENCE_TIMEOUT).count(), 0);
     assert_eq!(roster.update(at(2_200), note(DaemonPhase::Leaving, 2)), RosterChange::Changed);
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -1,9 +1,9 @@
 //! Connections to endpoints.
 //!
-//! Every send opens a connection of its own. That costs a handshake and excludes the faults of reused
-//! connections: an endpoint that closes an idle connection while the request is being written, so that
-//! the sender cannot know whether the request ran; a late answer to an earlier request; and bytes that
-//! remain from an earlier answer.
+//! Every send opens a connection of its own. That costs a handshake and excludes the faults of
+//! reused connections: an endpoint that closes an idle connection while the request is being
+//! written, so that the sender cannot know whether the request ran; a late answer to an earlier
+//! request; and bytes that remain from an earlier answer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -47,8 +47,8 @@
     pub(crate) guard: ConnectionGuard,
 }
 
-/// Aborts the connection's task when it is dropped. This closes the connection, so that the endpoint
-/// notices that the answer is not needed.
+/// Aborts the connection's task when it is dropped. This closes the connection, so that the
+/// endpoint notices that the answer is not needed.
 pub(crate) struct ConnectionGuard(AbortHandle);
 
 impl Drop for ConnectionGuard {
--- a/crates/gateway/tests/parts.rs
+++ b/crates/gateway/tests/parts.rs
@@ -1,4 +1,5 @@
-//! Tests of the event splitter, the endpoint registry, the retry budget, the balancer and the event log.
+//! Tests of the event splitter, the endpoint registry, the retry budget, the balancer and the event
+//! log.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -121,8 +122,8 @@
         BeatChange::Stale
     );
     assert_eq!(known(&registry), ["i-1@2000"]);
-    // After an endpoint has left, only a later start is added. Leaving without a start time means the
-    // latest start.
+    // After an endpoint has left, only a later start is added. Leaving without a start time means
+    // the latest start.
     assert_eq!(registry.leave(&"i-1".parse().unwrap()), "i-1@2000".parse().ok());
     assert_eq!(
         registry.apply_heartbeat(at(30), start(2_000, 2, 9), Duration::ZERO),
