--- a/crates/gateway/src/cluster.rs
+++ b/crates/gateway/src/cluster.rs
@@ -27,8 +27,8 @@
 const SILENT_GREETING_DIVISOR: u64 = 5;
 
 /// A full greeting is sent once in this many rounds and whenever the daemon's note has changed; the
-/// other rounds only report that the daemon is alive. A daemon that has missed a change asks for it,
-/// so the regular full greeting only covers unforeseen losses.
+/// other rounds only report that the daemon is alive. A daemon that has missed a change asks for
+/// it, so the regular full greeting only covers unforeseen losses.
 const FULL_GREETING_DIVISOR: u64 = 64;
 
 /// Peer traffic is logged and added to the metrics once in this many rounds, about every ten
@@ -47,7 +47,7 @@
     pub(crate) async fn send_greetings_periodically(self: Rc<Self>) {
         let mut round = 0_u64;
         loop {
-            self.note_suspension();
+            self.record_suspension();
             self.greet(round);
             self.update_leader();
             if round.is_multiple_of(TRAFFIC_LOG_DIVISOR) {
@@ -78,13 +78,13 @@
         let seeds = self.seed_instances();
         let tier = self.tier();
         let attached = self.attached_hubs();
-        let (to, forgotten) = {
+        let (to, expired) = {
             let mut roster = self.roster.borrow_mut();
             for seed in &seeds {
                 roster.add(now, seed);
             }
             let voters: BTreeSet<InstanceId> = self.own_voters().into_iter().collect();
-            let forgotten =
+            let expired =
                 roster.expire(now, |daemon| seeds.contains(daemon) || voters.contains(daemon));
             let is_due = |daemon: &&InstanceId| {
                 round.is_multiple_of(SILENT_GREETING_DIVISOR)
@@ -104,10 +104,10 @@
             };
             let to: Vec<InstanceId> =
                 roster.known().filter(is_in_tier_scope).filter(is_due).cloned().collect();
-            (to, forgotten)
+            (to, expired)
         };
-        for daemon in forgotten {
-            self.forget_links(&daemon);
+        for daemon in expired {
+            self.remove_links(&daemon);
             if !self.is_counted(PeerChange::Forgotten, &daemon) {
                 self.line(EventKind::Peer).text("peer", &daemon).text("outcome", "forgotten");
             }
@@ -118,15 +118,15 @@
         self.metrics.peers.set(i64::try_from(alive).unwrap_or(i64::MAX));
     }
 
-    /// Returns whether a change of a daemon, or of the link to it, is counted instead of logged on a
-    /// line of its own, and counts it if so.
+    /// Returns whether a change of a daemon, or of the link to it, is counted instead of logged on
+    /// a line of its own, and counts it if so.
     fn is_counted(&self, change: PeerChange, peer: &InstanceId) -> bool {
         let is_dependency =
             self.leader_instance().as_ref() == Some(peer) || self.own_voters().contains(peer);
         let known = self.roster.borrow().known_count();
         let is_counted = !is_dependency && PeerChanges::are_aggregated(known);
         if is_counted {
-            self.peer_changes.borrow_mut().note(change, peer);
+            self.peer_changes.borrow_mut().record(change, peer);
         }
         is_counted
     }
@@ -242,13 +242,14 @@
         if has_disk {
             self.add_hub(from, &note.data_centre);
         }
-        // From `tiers_from` daemons on, a list of all daemons would make a newcomer connect to each.
+        // From `tiers_from` daemons on, a list of all daemons would make a newcomer connect to
+        // each.
         let needs_tiers = self.roster.borrow().known_count() >= self.settings().tiers_from;
         let hubs = (needs_tiers || self.tier() != Tier::Mesh).then(|| {
             let hubs = self.known_hubs().into_iter();
             hubs.filter(|hub| hub != from).collect::<Vec<InstanceId>>()
         });
-        let (change, more, is_new) = {
+        let (change, known_list, is_new) = {
             let mut roster = self.roster.borrow_mut();
             let is_new = roster.get(from).is_none();
             let change = roster.update(now, note);
@@ -256,9 +257,9 @@
             let list = match hubs {
                 Some(hubs) => should_send_hub_list(hubs.len(), known, has_disk).then_some(hubs),
                 None => {
-                    let tells =
+                    let should_send =
                         should_send_member_list(roster.known_count(), known, rand::random());
-                    tells.then(|| roster.known().cloned().collect::<Vec<InstanceId>>())
+                    should_send.then(|| roster.known().cloned().collect::<Vec<InstanceId>>())
                 }
             };
             (change, list, is_new)
@@ -281,7 +282,7 @@
             }
             self.update_leader();
         }
-        if let Some(list) = more {
+        if let Some(list) = known_list {
             self.mesh.send(from, &PeerMessage::Known(list));
         }
         if is_new {
@@ -321,8 +322,8 @@
         alive.map(|note| (note.instance.clone(), note.data_centre.clone())).collect()
     }
 
-    /// Returns the endpoint changes to send to a daemon in a full mesh: all known endpoints from the
-    /// leader and the daemon's sponsors, otherwise those since the link was lost.
+    /// Returns the endpoint changes to send to a daemon in a full mesh: all known endpoints from
+    /// the leader and the daemon's sponsors, otherwise those since the link was lost.
     fn endpoint_updates_for(
         &self,
         to: &InstanceId,
@@ -341,11 +342,11 @@
     fn endpoint_updates_since(&self, since: MonotonicTime) -> Vec<PeerMessage> {
         let now = self.now();
         let endpoints = self.endpoints.borrow();
-        let leavers = endpoints.departed(MAX_REPORTED_DEPARTURES, since);
+        let departed = endpoints.departed(MAX_REPORTED_DEPARTURES, since);
         let notices = endpoints.changed_notices(now, since);
         let mut updates = Vec::new();
-        if !leavers.is_empty() {
-            updates.push(PeerMessage::EndpointsLeft(leavers));
+        if !departed.is_empty() {
+            updates.push(PeerMessage::EndpointsLeft(departed));
         }
         if !notices.is_empty() {
             updates.push(PeerMessage::Endpoints(notices));
@@ -475,7 +476,7 @@
             }
             PeerMessage::Progress(notes) => gateway.on_progress(&notes),
             PeerMessage::Placed(prompts) => gateway.on_placed(prompts),
-            PeerMessage::Cases(updates) => gateway.on_case_news(from, &updates),
+            PeerMessage::Cases(updates) => gateway.on_case_updates(from, &updates),
             PeerMessage::CaseHash { hash, is_answer } => {
                 gateway.on_case_hash(from, hash, is_answer);
             }
--- a/crates/gateway/src/documents.rs
+++ b/crates/gateway/src/documents.rs
@@ -1,8 +1,9 @@
-//! Replicates routing documents: proposes them to the log, puts them in force, and proves them current.
+//! Replicates routing documents: proposes them to the log, puts them in force, and proves them
+//! current.
 //!
 //! A routing document is the configuration that determines the route of each request. Its revision
-//! orders documents. A proof is the leader's confirmation that the document in force on a daemon was
-//! the newest one at a point in time.
+//! orders documents. A proof is the leader's confirmation that the document in force on a daemon
+//! was the newest one at a point in time.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -38,13 +39,13 @@
 /// The time-out of one freshness query to the leader, after which the next query is sent.
 const FRESHNESS_QUERY_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// The part of the key revocation time for which a proof is valid. The rest covers the time in which
-/// a request reaches its endpoint and in which the acknowledgement is in transit.
+/// The part of the key revocation time for which a proof is valid. The rest covers the time in
+/// which a request reaches its endpoint and in which the acknowledgement is in transit.
 const PROOF_LIFETIME_RATIO: f64 = 0.8;
 
 /// A daemon without a proof for this long is no longer listed to callers, though it still serves
-/// requests that arrive. This is longer than an election, and short enough for most callers to switch
-/// to another daemon before the proof expires.
+/// requests that arrive. This is longer than an election, and short enough for most callers to
+/// switch to another daemon before the proof expires.
 const RECENT_PROOF_TTL: Duration = Duration::from_millis(2_000);
 
 /// The part of the acknowledgement time that proposals may use. After it the operator is told to
@@ -105,7 +106,7 @@
     /// The revisions that the other daemons have in force, as reported to the leader.
     in_force: BTreeMap<InstanceId, RoutingRevision>,
     /// The copies that this daemon has sent as the leader.
-    spread: DocumentDissemination,
+    dissemination: DocumentDissemination,
 }
 
 impl DocumentState {
@@ -113,9 +114,9 @@
         self.active.as_ref().map(|active| active.text.revision)
     }
 
-    /// Records a proof by a query that was sent at `asked`.
-    pub(crate) fn prove(&mut self, asked: MonotonicTime) {
-        self.proved_at = self.proved_at.max(Some(asked));
+    /// Records a proof by a query that was sent at `requested_at`.
+    pub(crate) fn prove(&mut self, requested_at: MonotonicTime) {
+        self.proved_at = self.proved_at.max(Some(requested_at));
     }
 
     /// Returns the age of the proof that the document in force is the newest.
@@ -177,8 +178,8 @@
             let mut documents = self.documents.borrow_mut();
             documents.active = Some(Rc::new(ActiveDocument { text, table }));
             let awaited = documents.awaited.take_if(|(_, awaited)| *awaited <= revision);
-            if let Some((asked, _)) = awaited {
-                documents.prove(asked);
+            if let Some((requested_at, _)) = awaited {
+                documents.prove(requested_at);
             }
         }
         self.document_changed.notify_waiters();
@@ -197,12 +198,12 @@
 
     /// Sends a new document from the leader to all reachable daemons.
     ///
-    /// The leader sends the document only to relays, because its network link also carries answers to
-    /// prompts: 200 copies of 40 kB saturate 100 Mbit/s for 0.6 s, and no prompt is placed in time
-    /// meanwhile.
+    /// The leader sends the document only to relays, because its network link also carries answers
+    /// to prompts: 200 copies of 40 kB saturate 100 Mbit/s for 0.6 s, and no prompt is placed in
+    /// time meanwhile.
     pub(crate) fn disseminate_document(&self, text: &RoutingText) {
         let now = self.now();
-        self.documents.borrow_mut().spread.begin(now, text.revision);
+        self.documents.borrow_mut().dissemination.begin(now, text.revision);
         if self.tier() == Tier::Hub {
             // Each hub forwards the document to its leaves.
             let copy = PeerMessage::Document { text: text.clone(), pass_on: Vec::new() };
@@ -254,12 +255,12 @@
         if self.tier() == Tier::Leaf {
             return self.prove_by_hub().await;
         }
-        let asked = self.now();
-        let Some(FreshVerdict::Newest(newest, drains)) = self.ask_newest().await else {
+        let requested_at = self.now();
+        let Some(FreshVerdict::Newest(newest, drains)) = self.query_newest().await else {
             return false;
         };
         self.adopt_drains(&drains);
-        self.prove_newest(asked, newest);
+        self.prove_newest(requested_at, newest);
         true
     }
 
@@ -282,7 +283,7 @@
     }
 
     /// Queries the leader for the newest document's revision and the drained data centres.
-    pub(crate) async fn ask_newest(&self) -> Option<FreshVerdict> {
+    pub(crate) async fn query_newest(&self) -> Option<FreshVerdict> {
         let leader = self.leader_instance()?;
         if leader == self.own {
             return Some(self.fresh_verdict());
@@ -320,7 +321,8 @@
         }
     }
 
-    /// Answers another daemon's freshness query, and sends the newest document if the daemon lacks it.
+    /// Answers another daemon's freshness query, and sends the newest document if the daemon lacks
+    /// it.
     pub(crate) fn on_fresh_ask(
         &self,
         from: &InstanceId,
@@ -346,7 +348,7 @@
     ) {
         let active = self.active_document().filter(|_| newest > held);
         if let Some(active) = active
-            && self.documents.borrow_mut().spread.needs_copy(self.now(), to, held)
+            && self.documents.borrow_mut().dissemination.needs_copy(self.now(), to, held)
         {
             let text = active.text.clone();
             self.mesh.send(to, &PeerMessage::Document { text, pass_on: Vec::new() });
@@ -371,12 +373,13 @@
 
     /// Proposes an operator's document for the log and waits for the acknowledgement.
     ///
-    /// A document whose revision is not higher than the newest document's is acknowledged and changes
-    /// nothing, so that an operator can resend a document after a lost acknowledgement.
+    /// A document whose revision is not higher than the newest document's is acknowledged and
+    /// changes nothing, so that an operator can resend a document after a lost acknowledgement.
     ///
     /// # Errors
     ///
-    /// Returns an error when the document is invalid, or when it is unknown whether it was accepted.
+    /// Returns an error when the document is invalid, or when it is unknown whether it was
+    /// accepted.
     pub async fn put_document(self: &Rc<Self>, body: Bytes) -> Result<RegisterOutcome, PutError> {
         let document = (self.dialect.decode_document)(&body);
         let checked = document.and_then(|document| document.check().map(|()| document.revision));
@@ -492,7 +495,7 @@
         }
     }
 
-    /// Waits until all daemons that were heard recently have the revision in force.
+    /// Waits until all daemons that were heard from recently have the revision in force.
     async fn wait_until_in_force(&self, revision: RoutingRevision) {
         loop {
             let changed = self.document_changed.notified();
@@ -530,7 +533,7 @@
 
     async fn read_newest(&self) -> Option<RoutingText> {
         let newest = loop {
-            match self.ask_newest().await {
+            match self.query_newest().await {
                 Some(FreshVerdict::Newest(newest, _)) => break newest?,
                 _ => sleep(PROPOSAL_RETRY_DELAY).await,
             }
--- a/crates/gateway/src/drains.rs
+++ b/crates/gateway/src/drains.rs
@@ -3,8 +3,8 @@
 //! The endpoint registry excludes the endpoints of drained data centres from selection, so they
 //! get no new requests. Requests that already run there are not interrupted.
 //!
-//! The leader sends the drained data centres to all daemons when they change. They are also part
-//! of each proof that the routing document is current, so a daemon that missed the message learns of
+//! The leader sends the drained data centres to all daemons when they change. They are also part of
+//! each proof that the routing document is current, so a daemon that missed the message learns of
 //! the change with its next proof.
 
 use std::collections::BTreeSet;
@@ -86,7 +86,7 @@
 
     async fn newest_drain_revision(&self) -> DrainRevision {
         loop {
-            if let Some(FreshVerdict::Newest(_, drains)) = self.ask_newest().await {
+            if let Some(FreshVerdict::Newest(_, drains)) = self.query_newest().await {
                 return drains.revision();
             }
             sleep(PROPOSAL_RETRY_DELAY).await;
--- a/crates/gateway/src/endpoints.rs
+++ b/crates/gateway/src/endpoints.rs
@@ -1,8 +1,8 @@
 //! The registry of endpoints that have announced themselves to this daemon or to another.
 //!
-//! The state is soft: none of it is stored on disk. Each endpoint identifies its start by an id and a
-//! time and numbers its heartbeats, so that every daemon can tell a late heartbeat from a new one,
-//! whichever daemon received it first.
+//! The state is soft: none of it is stored on disk. Each endpoint identifies its start by an id and
+//! a time and numbers its heartbeats, so that every daemon can tell a late heartbeat from a new
+//! one, whichever daemon received it first.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -21,8 +21,8 @@
 
 /// How long after its last heartbeat an endpoint keeps its address against another endpoint whose
 /// start time is earlier. A heartbeat may arrive seconds late, after another start has taken the
-/// address. After this time the start times may be wrong because the clocks differ, and the endpoint
-/// that sends heartbeats gets the address.
+/// address. After this time the start times may be wrong because the clocks differ, and the
+/// endpoint that sends heartbeats gets the address.
 const ADDRESS_HOLD_TIME: Duration = Duration::from_secs(4);
 
 /// Whether an endpoint takes new work.
@@ -80,14 +80,14 @@
 #[derive(Debug, Clone)]
 struct EndpointEntry {
     beat: EndpointBeat,
-    heard: MonotonicTime,
+    last_heard: MonotonicTime,
     /// When the state that other daemons must learn last changed here.
     changed: MonotonicTime,
 }
 
 impl EndpointEntry {
     fn notice(&self, now: MonotonicTime) -> EndpointNotice {
-        EndpointNotice { beat: self.beat.clone(), age: now.since(self.heard) }
+        EndpointNotice { beat: self.beat.clone(), age: now.since(self.last_heard) }
     }
 }
 
@@ -117,9 +117,9 @@
         age: Duration,
     ) -> BeatChange {
         self.last_heartbeat_at = self.last_heartbeat_at.max(now);
-        let heard = now - age;
+        let last_heard = now - age;
         let Some(entry) = self.entries.get_mut(&beat.endpoint) else {
-            return self.add_start(heard, beat);
+            return self.add_start(last_heard, beat);
         };
         if entry.beat.sequence >= beat.sequence {
             return BeatChange::Stale;
@@ -128,7 +128,7 @@
             || entry.beat.address != beat.address
             || entry.beat.service != beat.service
             || entry.beat.cold_remaining.is_zero() != beat.cold_remaining.is_zero();
-        entry.heard = entry.heard.max(heard);
+        entry.last_heard = entry.last_heard.max(last_heard);
         entry.beat = beat;
         if changed {
             entry.changed = now;
@@ -140,21 +140,21 @@
 
     /// Applies the first heartbeat of a start. Only unknown starts can have ended, so only this
     /// function checks for that.
-    fn add_start(&mut self, heard: MonotonicTime, beat: EndpointBeat) -> BeatChange {
+    fn add_start(&mut self, last_heard: MonotonicTime, beat: EndpointBeat) -> BeatChange {
         if self.has_ended(&beat.endpoint) {
             return BeatChange::Stale;
         }
-        if self.is_address_held(heard, &beat) {
+        if self.is_address_held(last_heard, &beat) {
             self.leave(&beat.endpoint);
             return BeatChange::Stale;
         }
         if let Some(earlier) = self.current(beat.endpoint.id()).cloned() {
             self.leave(&earlier);
         }
-        self.remove_older_at_address(heard, &beat);
+        self.remove_older_at_address(last_heard, &beat);
         self.entries.insert(
             beat.endpoint.clone(),
-            EndpointEntry { beat, heard, changed: self.last_heartbeat_at },
+            EndpointEntry { beat, last_heard, changed: self.last_heartbeat_at },
         );
         self.generation += 1;
         BeatChange::Met
@@ -168,8 +168,8 @@
         has_left || self.current(start.id()).is_some_and(later)
     }
 
-    /// Returns the known start of an endpoint. There is at most one, because a later start replaces an
-    /// earlier one.
+    /// Returns the known start of an endpoint. There is at most one, because a later start replaces
+    /// an earlier one.
     fn current(&self, endpoint: &EndpointId) -> Option<&EndpointStart> {
         let first = EndpointStart::new(endpoint.clone(), StartTime::ZERO);
         let (next, _) = self.entries.range(first..).next()?;
@@ -177,20 +177,21 @@
     }
 
     /// Returns whether a later start of another endpoint holds the address.
-    fn is_address_held(&self, heard: MonotonicTime, beat: &EndpointBeat) -> bool {
+    fn is_address_held(&self, last_heard: MonotonicTime, beat: &EndpointBeat) -> bool {
         let time = beat.endpoint.time();
         self.entries.values().any(|entry| {
             entry.beat.address == beat.address
                 && time > StartTime::ZERO
                 && entry.beat.endpoint.time() > time
-                && heard.since(entry.heard) < ADDRESS_HOLD_TIME
+                && last_heard.since(entry.last_heard) < ADDRESS_HOLD_TIME
         })
     }
 
     /// Removes the endpoint that held the address before: it cannot run any more.
-    fn remove_older_at_address(&mut self, heard: MonotonicTime, beat: &EndpointBeat) {
-        let older =
-            |entry: &&EndpointEntry| entry.beat.address == beat.address && entry.heard < heard;
+    fn remove_older_at_address(&mut self, last_heard: MonotonicTime, beat: &EndpointBeat) {
+        let older = |entry: &&EndpointEntry| {
+            entry.beat.address == beat.address && entry.last_heard < last_heard
+        };
         let displaced = self.entries.values().find(older).map(|e| e.beat.endpoint.clone());
         if let Some(endpoint) = displaced {
             self.leave(&endpoint);
@@ -219,7 +220,7 @@
 
     /// Removes the endpoints that have been silent for longer than `silence`, and returns them.
     pub fn expire(&mut self, now: MonotonicTime, silence: Duration) -> Vec<EndpointStart> {
-        let silent = |entry: &EndpointEntry| now.since(entry.heard) > silence;
+        let silent = |entry: &EndpointEntry| now.since(entry.last_heard) > silence;
         let expired: Vec<EndpointStart> = self
             .entries
             .values()
@@ -268,12 +269,13 @@
     /// restored, the endpoint therefore counts as cold until its next heartbeat, but for no longer
     /// than `span`.
     pub fn is_cold(&self, now: MonotonicTime, endpoint: &EndpointStart, span: Duration) -> bool {
-        let Some(EndpointEntry { beat, heard, .. }) = self.entries.get(endpoint) else {
+        let Some(EndpointEntry { beat, last_heard, .. }) = self.entries.get(endpoint) else {
             return false;
         };
         let restored_at = self.restored_at.get(&beat.data_centre);
-        let is_unconfirmed = restored_at.is_some_and(|at| *heard <= *at && now.since(*at) < span);
-        is_unconfirmed || now.since(*heard) < beat.cold_remaining
+        let is_unconfirmed =
+            restored_at.is_some_and(|at| *last_heard <= *at && now.since(*at) < span);
+        is_unconfirmed || now.since(*last_heard) < beat.cold_remaining
     }
 
     /// Replaces the set of data centres whose endpoints get no new requests.
@@ -284,15 +286,15 @@
         self.generation += 1;
     }
 
-    /// Returns the endpoint at an address; if several are known, the one heard last.
+    /// Returns the endpoint at an address; if several are known, the one heard from last.
     pub fn at(&self, address: SocketAddr) -> Option<EndpointStart> {
         let here = self.entries.values().filter(|entry| entry.beat.address == address);
-        here.max_by_key(|entry| entry.heard).map(|entry| entry.beat.endpoint.clone())
+        here.max_by_key(|entry| entry.last_heard).map(|entry| entry.beat.endpoint.clone())
     }
 
     /// Returns how long an endpoint has been silent.
     pub fn silence(&self, now: MonotonicTime, endpoint: &EndpointStart) -> Option<Duration> {
-        self.entries.get(endpoint).map(|entry| now.since(entry.heard))
+        self.entries.get(endpoint).map(|entry| now.since(entry.last_heard))
     }
 
     /// Returns a number that grows with each change to which endpoints take work, and at which
@@ -313,10 +315,10 @@
         }
     }
 
-    /// Updates when endpoints were last heard from a hub's report.
+    /// Updates, from a hub's report, when each endpoint was last heard from.
     ///
-    /// Endpoints that `silent` does not list count as heard one heartbeat ago.
-    pub fn update_heard(
+    /// Endpoints that `silent` does not list count as heard from one heartbeat ago.
+    pub fn update_last_heard(
         &mut self,
         now: MonotonicTime,
         silent: &[(EndpointStart, Duration)],
@@ -326,7 +328,7 @@
             silent.iter().map(|(endpoint, silence)| (endpoint, *silence)).collect();
         for (endpoint, entry) in &mut self.entries {
             let silence = silent.get(endpoint).copied();
-            entry.heard = entry.heard.max(now - silence.unwrap_or(heartbeat));
+            entry.last_heard = entry.last_heard.max(now - silence.unwrap_or(heartbeat));
         }
     }
 
@@ -338,7 +340,7 @@
         count: usize,
     ) -> Vec<(EndpointStart, Duration)> {
         let silence = |(endpoint, entry): (&EndpointStart, &EndpointEntry)| {
-            (endpoint.clone(), now.since(entry.heard))
+            (endpoint.clone(), now.since(entry.last_heard))
         };
         self.entries.iter().map(silence).filter(|(_, s)| *s > span).take(count).collect()
     }
@@ -379,10 +381,10 @@
         known.map(|entry| entry.notice(now)).collect()
     }
 
-    /// Lists as notices the endpoints that were heard after `since`.
+    /// Lists as notices the endpoints that were heard from after `since`.
     pub fn notices(&self, now: MonotonicTime, since: MonotonicTime) -> Vec<EndpointNotice> {
-        let heard = self.entries.values().filter(|entry| entry.heard > since);
-        heard.map(|entry| entry.notice(now)).collect()
+        let recent = self.entries.values().filter(|entry| entry.last_heard > since);
+        recent.map(|entry| entry.notice(now)).collect()
     }
 
     /// Lists as notices the endpoints that were added or have changed since `since`.
--- a/crates/gateway/src/front/ends.rs
+++ b/crates/gateway/src/front/ends.rs
@@ -1,11 +1,11 @@
-//! Detects whether an endpoint's process ended while it served a request, or only the connection was
-//! lost.
+//! Detects whether an endpoint's process ended while it served a request, or only the connection
+//! was lost.
 //!
-//! A connection that breaks in the middle of an answer is ambiguous: the endpoint or a machine on the
-//! path may have closed it. The gateway therefore opens a new connection to the same address. An
-//! immediate refusal shows that the machine is up and that no process listens, so the endpoint's
-//! process has ended. A connection that times out proves nothing, since a network partition looks the
-//! same. An accepted connection shows that a process listens at the address.
+//! A connection that breaks in the middle of an answer is ambiguous: the endpoint or a machine on
+//! the path may have closed it. The gateway therefore opens a new connection to the same address.
+//! An immediate refusal shows that the machine is up and that no process listens, so the endpoint's
+//! process has ended. A connection that times out proves nothing, since a network partition looks
+//! the same. An accepted connection shows that a process listens at the address.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,18 +18,18 @@
 use crate::gateway::Gateway;
 use crate::net;
 
-/// The time-out of the probe connection. A reachable machine accepts or refuses within a network hop,
-/// and a request that could continue at another endpoint waits meanwhile.
+/// The time-out of the probe connection. A reachable machine accepts or refuses within a network
+/// hop, and a request that could continue at another endpoint waits meanwhile.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// The result of probing an endpoint whose connection was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ProbeResult {
-    /// No process listens at its address.
+    /// No process listens at the endpoint's address.
     Ended,
-    /// It had announced that it leaves.
+    /// The endpoint had announced that it leaves.
     Left,
-    /// It accepted the connection.
+    /// The endpoint accepted the connection.
     Alive,
     /// The connection was neither accepted nor refused.
     Unknown,
@@ -46,8 +46,8 @@
     }
 }
 
-/// Probes an endpoint whose connection broke during a request. Logs the result with the request, and
-/// records the end for the quarantine if the endpoint's process has ended.
+/// Probes an endpoint whose connection broke during a request. Logs the result with the request,
+/// and records the end for the quarantine if the endpoint's process has ended.
 pub(super) async fn probe_for_end(
     gateway: &Gateway,
     request: &CallerRequest,
@@ -58,7 +58,7 @@
     if result == ProbeResult::Ended {
         gateway.record_endpoint_end(request.digest(), endpoint);
     }
-    gateway.metrics.end_looks.with_label_values(&[result.name()]).inc();
+    gateway.metrics.end_probes.with_label_values(&[result.name()]).inc();
     gateway
         .line(EventKind::EndpointEnd)
         .text("request", &request.id)
--- a/crates/gateway/src/front/placement.rs
+++ b/crates/gateway/src/front/placement.rs
@@ -30,8 +30,8 @@
 /// The reason why no endpoint was selected for a send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum NoPlacement {
-    /// No endpoint of the service accepts requests, or none is suitable for this request at present.
-    /// Holds the reason and the time after which the caller should retry.
+    /// No endpoint of the service accepts requests, or none is suitable for this request at
+    /// present. Holds the reason and the time after which the caller should retry.
     NoEndpoint(&'static str, Duration),
     /// The request is not sent, and waiting in this daemon would not help. Holds the reason and the
     /// time after which the caller should retry.
@@ -50,8 +50,8 @@
     }
 }
 
-/// The endpoint selected for a send. Dropping it reports the end of the send to the prompt's home or
-/// to the balancer, and releases reserved engine memory.
+/// The endpoint selected for a send. Dropping it reports the end of the send to the prompt's home
+/// or to the balancer, and releases reserved engine memory.
 pub(super) struct Placement {
     gateway: Rc<Gateway>,
     pub(super) endpoint: EndpointStart,
@@ -65,17 +65,17 @@
 }
 
 impl Placement {
-    /// Selects an endpoint for a request. `patience` is how long the request can still wait for an
+    /// Selects an endpoint for a request. `max_wait` is how long the request can still wait for an
     /// endpoint.
     pub(super) async fn find(
         gateway: &Rc<Gateway>,
         request: &CallerRequest,
         avoid: &[EndpointStart],
-        patience: Duration,
+        max_wait: Duration,
     ) -> Result<Self, NoPlacement> {
         let began = Instant::now();
         let found = if request.service.engine.is_some() {
-            Self::find_engine(gateway, request, avoid, patience).await
+            Self::find_engine(gateway, request, avoid, max_wait).await
         } else {
             Self::find_plain(gateway, request, avoid)
         };
@@ -125,9 +125,9 @@
         gateway: &Rc<Gateway>,
         request: &CallerRequest,
         avoid: &[EndpointStart],
-        patience: Duration,
+        max_wait: Duration,
     ) -> Result<Self, NoPlacement> {
-        let ask = prompt_ask(gateway, request, avoid, patience);
+        let ask = prompt_ask(gateway, request, avoid, max_wait);
         let (placed, by) = gateway.place_prompt(&request.id, &ask).await;
         let plan = placed.map_err(|error| {
             let (reason, after) = (error.reason.name(), error.retry_after);
@@ -155,7 +155,8 @@
             .ok_or(NoPlacement::NoEndpoint(NO_ENDPOINT, SHORT_RETRY_AFTER))?;
         let mut to_reserve = Vec::new();
         for helper in &plan.helpers {
-            // A helper that has left in the meantime reads no part, and the other engines read more.
+            // A helper that has left in the meantime reads no part, and the other engines read
+            // more.
             let Some(address) = registry_address(&helper.endpoint) else { continue };
             placement.helpers.push(HelperAddress { address, reservation: None });
             if let Some(tokens) = helper.reserve_tokens {
@@ -213,9 +214,9 @@
     if matching.is_empty() { all } else { matching }
 }
 
-/// Returns the error for a service without a usable endpoint. If no endpoint of the service is known,
-/// as after a start of all daemons, the caller retries after a heartbeat interval, since endpoints
-/// become known with their next heartbeat.
+/// Returns the error for a service without a usable endpoint. If no endpoint of the service is
+/// known, as after a start of all daemons, the caller retries after a heartbeat interval, since
+/// endpoints become known with their next heartbeat.
 fn no_endpoint(
     gateway: &Gateway,
     request: &CallerRequest,
@@ -232,7 +233,7 @@
     gateway: &Rc<Gateway>,
     request: &CallerRequest,
     avoid: &[EndpointStart],
-    patience: Duration,
+    max_wait: Duration,
 ) -> PromptAsk {
     let facts = &request.facts;
     let max_answer = facts.max_answer_tokens.unwrap_or(DEFAULT_MAX_ANSWER_TOKENS);
@@ -247,7 +248,7 @@
         whole_objective: request.route.objective,
         pause: request.route.pause_objective.unwrap_or(DEFAULT_PAUSE_OBJECTIVE),
         deadline: request.time_left(),
-        patience,
+        patience: max_wait,
         avoid: avoid.to_vec(),
         is_suspect: gateway.standing(|| request.digest()) != Standing::Clear,
     }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -61,9 +61,9 @@
     pub(crate) links_lost: RefCell<HashMap<InstanceId, MonotonicTime>>,
     /// Changes of links and daemons that have not been logged yet.
     pub(crate) peer_changes: RefCell<PeerChanges>,
-    /// The status that this daemon announced last.
+    /// The note that this daemon last sent about itself.
     pub(crate) last_note: RefCell<Option<DaemonNote>>,
-    /// The edition of the status in the last greeting to other daemons.
+    /// The edition of the note in the last greeting to other daemons.
     pub(crate) greeted_edition: Cell<u32>,
     pub(crate) replica: RefCell<Option<ReplicaDriver>>,
     pub(crate) tier: RefCell<TierState>,
@@ -207,8 +207,8 @@
         answer.ok()?
     }
 
-    /// Sends a request, and sends it again on each new link until the answer arrives: the request or
-    /// its answer may have been lost with the previous link.
+    /// Sends a request, and sends it again on each new link until the answer arrives: the request
+    /// or its answer may have been lost with the previous link.
     async fn send_on_each_link(
         &self,
         to: &InstanceId,
@@ -237,8 +237,8 @@
     }
 
     /// Removes the state of the links to a daemon.
-    pub(crate) fn forget_links(&self, to: &InstanceId) {
-        self.mesh.forget(to);
+    pub(crate) fn remove_links(&self, to: &InstanceId) {
+        self.mesh.close_link(to);
         self.links_lost.borrow_mut().remove(to);
         self.link_counts.borrow_mut().remove(to);
     }
--- a/crates/gateway/src/home.rs
+++ b/crates/gateway/src/home.rs
@@ -1,11 +1,11 @@
 //! Placement of prompts on engines: by the home, by a deputy, or by the entry alone.
 //!
-//! An entry is the daemon that received a prompt from its caller. The leader of the log is the home of
-//! all engines: it alone places prompts, so that it knows the full load of each engine. While the home
-//! does not answer in time, deputies place prompts, each on a part of the engines, which is its cell.
-//! An entry that cannot reach its deputy either places its prompts itself. It then knows only its own
-//! prompts, and chooses among randomly drawn engines. Each entry sends its running prompts to a daemon
-//! that begins to place prompts.
+//! An entry is the daemon that received a prompt from its caller. The leader of the log is the home
+//! of all engines: it alone places prompts, so that it knows the full load of each engine. While
+//! the home does not answer in time, deputies place prompts, each on a part of the engines, which
+//! is its cell. An entry that cannot reach its deputy either places its prompts itself. It then
+//! knows only its own prompts, and chooses among randomly drawn engines. Each entry sends its
+//! running prompts to a daemon that begins to place prompts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -29,19 +29,19 @@
 /// placement, and far shorter than the shortest objective.
 pub(crate) const HOME_ANSWER_TIMEOUT: Duration = Duration::from_millis(90);
 
-/// The time-out of a call to a deputy. It is shorter than that of the home, because the prompt may have
-/// waited for the home before.
+/// The time-out of a call to a deputy. It is shorter than that of the home, because the prompt may
+/// have waited for the home before.
 const DEPUTY_ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// An engine that has been silent for this many heartbeat intervals gets no new work, unless a recent
-/// good answer shows that it is alive.
+/// An engine that has been silent for this many heartbeat intervals gets no new work, unless a
+/// recent good answer shows that it is alive.
 const MAX_MISSED_HEARTBEATS: u32 = 3;
 
 /// How long an engine counts as alive after a good answer.
 const GOOD_ANSWER_TTL: Duration = Duration::from_secs(2);
 
-/// The share of a cold engine's request limit that one placing daemon may use. Within one second, the
-/// home, a deputy that replaces it and the next home may all place prompts on the same engine.
+/// The share of a cold engine's request limit that one placing daemon may use. Within one second,
+/// the home, a deputy that replaces it and the next home may all place prompts on the same engine.
 const COLD_LIMIT_SHARE: f64 = 1.0 / 3.0;
 
 /// Returns the number of prompts per second that one placing daemon may send to a cold engine, at
@@ -78,7 +78,8 @@
 #[derive(Debug, Default)]
 pub(crate) struct HomeState {
     fleet: EngineFleet,
-    /// The registry generation, the document revision and the time of the last refresh of the fleet.
+    /// The registry generation, the document revision and the time of the last refresh of the
+    /// fleet.
     fleet_source: Option<(u64, Option<RoutingRevision>, MonotonicTime)>,
     /// The running prompts of this daemon's callers.
     own_prompts: BTreeMap<PromptKey, PlacedPrompt>,
@@ -134,8 +135,8 @@
         (self.place_and_record(ask, EngineScope::Drawn(rand::random())), PlacedBy::Alone)
     }
 
-    /// Reports a placement by another daemon to the home. The home may be slow only and have placed the
-    /// prompt as well, and would then count engines as busy that are not.
+    /// Reports a placement by another daemon to the home. A home that is only slow may have placed
+    /// the prompt as well, and without the report would count engines as busy that are not.
     fn report_placement_to_home(&self, ask: &PromptAsk, plan: &PromptPlan) {
         if let Some(leader) = self.leader_instance() {
             let placed = PlacedPrompt { ask: ask.clone(), plan: plan.clone(), has_begun: false };
@@ -170,7 +171,8 @@
         verdict
     }
 
-    /// Returns the deputies, which place prompts while the home is away. This daemon can be one of them.
+    /// Returns the deputies, which place prompts while the home is away. This daemon can be one of
+    /// them.
     fn deputies(&self) -> Vec<InstanceId> {
         if self.tier() == Tier::Leaf {
             return self.deputies_from_hub();
@@ -192,7 +194,8 @@
         }
     }
 
-    /// Records that the home answered in time. If the home was away before, sends it the running prompts.
+    /// Records that the home answered in time. If the home was away before, sends it the running
+    /// prompts.
     pub(crate) fn on_home_answer(&self) {
         if self.home.borrow_mut().watch.record_answer() {
             self.on_new_home();
@@ -224,8 +227,8 @@
         self.home.borrow_mut().fleet.explains_silence(self.now(), endpoint, silence)
     }
 
-    /// Asks the home whether an engine is silent because it reads prompts. Without an answer this is
-    /// assumed: moving a prompt without need means that another engine has to read it again.
+    /// Asks the home whether an engine is silent because it reads prompts. Without an answer this
+    /// is assumed: moving a prompt without need means that another engine has to read it again.
     pub(crate) async fn silence_is_expected(
         &self,
         endpoint: &EndpointStart,
@@ -244,7 +247,7 @@
         !matches!(reply, Some(PeerReply::SilenceExpected(false)))
     }
 
-    /// Records the progress of a prompt, and reports it to the home and the informed deputies.
+    /// Records the progress of a prompt, and reports it to the home and the notified deputies.
     pub(crate) fn report_progress(&self, note: ProgressNote) {
         self.on_progress(std::slice::from_ref(&note));
         match &note {
@@ -261,8 +264,8 @@
         let leader = self.leader_instance().filter(|leader| *leader != self.own);
         let to: Vec<InstanceId> = {
             let home = self.home.borrow();
-            let informed = home.watch.notified_deputies(self.now()).iter();
-            informed
+            let notified = home.watch.notified_deputies(self.now()).iter();
+            notified
                 .filter(|deputy| Some(*deputy) != leader.as_ref())
                 .chain(&leader)
                 .cloned()
@@ -316,8 +319,8 @@
         }
     }
 
-    /// Updates the fleet from the endpoint registry and the document in force, and removes the prompts of
-    /// entries that are gone.
+    /// Updates the fleet from the endpoint registry and the document in force, and removes the
+    /// prompts of entries that are gone.
     fn refresh_fleet(&self) {
         let now = self.now();
         let registry = self.endpoints.borrow();
@@ -347,7 +350,7 @@
         let facts = registry
             .all()
             .filter_map(|beat| {
-                let is_heard = registry
+                let has_recent_heartbeat = registry
                     .silence(heartbeats_known_until, &beat.endpoint)
                     .is_some_and(|silence| silence < silent_after);
                 let has_good_answer = home
@@ -361,7 +364,7 @@
                     endpoint: beat.endpoint.clone(),
                     service: beat.service.clone(),
                     takes_work: registry.takes_work(&beat.endpoint).is_some()
-                        && (is_heard || has_good_answer),
+                        && (has_recent_heartbeat || has_good_answer),
                     profile: Arc::clone(profile),
                 })
             })
--- a/crates/gateway/src/hubs.rs
+++ b/crates/gateway/src/hubs.rs
@@ -462,7 +462,7 @@
             }
         }
         let heartbeat = self.settings().bounds.endpoint_heartbeat;
-        self.endpoints.borrow_mut().update_heard(requested_at, &silent, heartbeat);
+        self.endpoints.borrow_mut().update_last_heard(requested_at, &silent, heartbeat);
         if is_home_away {
             self.on_home_timeout();
         } else {
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -13,8 +13,8 @@
 use crate::peers::PeerMessage;
 use crate::start::GatewayError;
 
-/// How long callers are asked to keep addresses. The time is short, so that callers soon stop using a
-/// daemon that leaves. Some callers keep addresses three times as long, which has to fit into the
+/// How long callers are asked to keep addresses. The time is short, so that callers soon stop using
+/// a daemon that leaves. Some callers keep addresses three times as long, which has to fit into the
 /// shutdown grace period.
 pub(crate) const ADDRESS_TTL: Duration = Duration::from_secs(2);
 
@@ -25,9 +25,9 @@
 /// streams to be cut at the end of the grace period if they began within 3 s of the signal.
 const ACCEPT_ALL_PERIOD: Duration = Duration::from_millis(2_700);
 
-/// The last part of the grace period, which is left for the process to exit by itself. 350 ms were not
-/// enough on a quarter of a core, which takes longer to write the last log lines: on a recorded day two
-/// processes still ran at the end of the grace period.
+/// The last part of the grace period, which is left for the process to exit by itself. 350 ms are
+/// too short on a quarter of a core, where writing the last log lines takes longer: on a recorded
+/// day, two processes still ran at the end of the grace period.
 const EXIT_MARGIN: Duration = Duration::from_millis(800);
 
 /// The interval at which a draining daemon checks whether requests are still running.
@@ -44,8 +44,8 @@
 pub enum Lifecycle {
     /// The process serves.
     Serving,
-    /// The process has been asked to shut down: the directory no longer lists it, and it finishes the
-    /// requests that are running or still arrive.
+    /// The process has been asked to shut down: the directory no longer lists it, and it finishes
+    /// the requests that are running or still arrive.
     Draining,
     /// The process exits.
     Stopped,
@@ -80,7 +80,8 @@
 }
 
 impl Gateway {
-    /// Returns whether this daemon is not draining and has a routing document that is proved current.
+    /// Returns whether this daemon is not draining and has a routing document that is proved
+    /// current.
     pub fn is_ready(&self) -> bool {
         let serves = *self.lifecycle.borrow() == Lifecycle::Serving;
         serves && self.active_document().is_some() && self.is_fresh() && self.has_recent_proof()
@@ -93,10 +94,10 @@
 
     /// Records a suspension of the machine and requests a proof at once. The age of the known state
     /// includes the suspension even without this call.
-    pub(crate) fn note_suspension(&self) {
-        let noticed = self.suspended.get();
-        let Some(span) = self.clock.newly_suspended(noticed) else { return };
-        self.suspended.set(noticed + span);
+    pub(crate) fn record_suspension(&self) {
+        let recorded = self.suspended.get();
+        let Some(span) = self.clock.newly_suspended(recorded) else { return };
+        self.suspended.set(recorded + span);
         self.metrics.suspensions.inc();
         self.line(EventKind::Suspended)
             .millis("span_ms", span)
@@ -150,11 +151,12 @@
         self.stop();
     }
 
-    /// Returns whether a new request that may take up to `longest` is accepted while the daemon drains.
+    /// Returns whether a new request that may take up to `longest` is accepted while the daemon
+    /// drains.
     ///
-    /// A request is accepted if it can end before the process exits. Requests that arrive soon after
-    /// the signal are always accepted: their callers could not know of the shutdown yet, and most
-    /// requests take much less time than their limit.
+    /// A request is accepted if it can end before the process exits. Requests that arrive soon
+    /// after the signal are always accepted: their callers could not know of the shutdown yet, and
+    /// most requests take much less time than their limit.
     pub(crate) fn has_time_for(&self, longest: Duration) -> bool {
         let Some(since) = self.draining_since.get() else { return true };
         let passed = self.now().since(since);
@@ -164,7 +166,8 @@
 
     fn transfer_leadership(self: &Rc<Self>) {
         let now = self.now();
-        let is_transferred = self.replica.borrow_mut().as_mut().is_some_and(|r| r.hand_over(now));
+        let is_transferred =
+            self.replica.borrow_mut().as_mut().is_some_and(|r| r.transfer_leadership(now));
         self.step_replica();
         if is_transferred {
             self.line(EventKind::Leader).text("outcome", "handed over");
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -24,8 +24,8 @@
     pub(crate) placement: HistogramVec,
     /// Sends to endpoints by outcome.
     pub(crate) sends: IntCounterVec,
-    /// Checks whether an endpoint that lost an answer has ended, by outcome.
-    pub(crate) end_looks: IntCounterVec,
+    /// Probes of endpoints whose connection was lost during a request, by outcome.
+    pub(crate) end_probes: IntCounterVec,
     /// Suspect requests: requests under which endpoints ended, perhaps by chance.
     pub(crate) suspects: IntGauge,
     /// Quarantined requests: requests that end their endpoints and are not sent.
@@ -48,7 +48,7 @@
     pub(crate) is_leader: IntGauge,
     /// Whether this daemon's replica of the log is running.
     pub(crate) replica_runs: IntGauge,
-    /// Other daemons that were heard recently.
+    /// Other daemons that were heard from recently.
     pub(crate) peers: IntGauge,
     /// Messages sent to other daemons, by kind.
     pub(crate) peer_messages: IntCounterVec,
@@ -106,7 +106,7 @@
             whole_answer: seconds("oriolepass_whole_answer_seconds", "Arrival to end", "kind"),
             placement: seconds("oriolepass_placement_seconds", "Finding an endpoint", "decided_by"),
             sends: counters("oriolepass_sends_total", "Sends to endpoints", "outcome"),
-            end_looks: counters(
+            end_probes: counters(
                 "oriolepass_endpoint_end_looks_total",
                 "Looks at endpoints that lost an answer",
                 "outcome",
--- a/crates/gateway/src/peer_changes.rs
+++ b/crates/gateway/src/peer_changes.rs
@@ -61,7 +61,7 @@
     }
 
     /// Counts a change.
-    pub(crate) fn note(&mut self, change: PeerChange, peer: &InstanceId) {
+    pub(crate) fn record(&mut self, change: PeerChange, peer: &InstanceId) {
         let entry = self.counts.entry(change).or_default();
         entry.count += 1;
         if entry.names.len() < MAX_LISTED_PEERS {
--- a/crates/gateway/src/peer_changes_tests.rs
+++ b/crates/gateway/src/peer_changes_tests.rs
@@ -11,8 +11,8 @@
 #[test]
 fn many_changes_are_aggregated_into_a_count_with_a_few_names() {
     let mut changes = PeerChanges::default();
-    (0..199).for_each(|number| changes.note(PeerChange::LinkDown, &instance(number)));
-    changes.note(PeerChange::Met, &instance(7));
+    (0..199).for_each(|number| changes.record(PeerChange::LinkDown, &instance(number)));
+    changes.record(PeerChange::Met, &instance(7));
     let reported = changes.take();
     assert_eq!(reported[&PeerChange::LinkDown].count, 199);
     assert_eq!(reported[&PeerChange::LinkDown].names.len(), 5);
--- a/crates/gateway/src/peers/mesh.rs
+++ b/crates/gateway/src/peers/mesh.rs
@@ -19,19 +19,22 @@
 use super::PeerMessage;
 use crate::net;
 
-/// The maximum number of messages queued for one connection: what a busy leader sends in some seconds.
+/// The maximum number of messages queued for one connection: what a busy leader sends in some
+/// seconds.
 const LINK_QUEUE_CAPACITY: usize = 2_048;
 
-/// The time-out for establishing a connection. It allows a hundred round trips between data centres;
-/// a connection after two retransmissions of a lost first packet would be too late in any case.
+/// The time-out for establishing a connection. It allows a hundred round trips between data
+/// centres; a connection after two retransmissions of a lost first packet would be too late in any
+/// case.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// The delay after a failed connection.
 const RECONNECT_DELAY: Duration = Duration::from_millis(150);
 
-/// A lost connection that lasted at least this long is re-established at once and its queued messages
-/// are sent, because a caller waits only 90 ms for an answer. After a shorter connection, such as to
-/// a daemon that closes connections right after it accepts them, `RECONNECT_DELAY` applies.
+/// A lost connection that lasted at least this long is re-established at once and its queued
+/// messages are sent, because a caller waits only 90 ms for an answer. After a shorter connection,
+/// such as to a daemon that closes connections right after it accepts them, `RECONNECT_DELAY`
+/// applies.
 const STABLE_CONNECTION_TIME: Duration = Duration::from_millis(1_000);
 
 /// A write collects queued frames up to this size.
@@ -40,7 +43,8 @@
 /// The size limit of a message; a routing document of four megabytes and a snapshot chunk both fit.
 const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 
-/// A connection that receives nothing for this long is closed; greetings arrive many times as often.
+/// A connection that receives nothing for this long is closed; greetings arrive many times as
+/// often.
 const READ_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// The minimum interval between two receipts, with which the receiver of a connection confirms that
@@ -133,13 +137,13 @@
             spawn_local(run_link(Rc::clone(self), to.clone(), frames));
             sender
         });
-        // A full queue means that the receiver has not read for seconds. The message is dropped, and
-        // its sender repeats it.
+        // A full queue means that the receiver has not read for seconds. The message is dropped,
+        // and its sender repeats it.
         let _ = link.try_send(frame);
     }
 
     /// Closes the connection to a daemon that has been removed from the roster.
-    pub(crate) fn forget(&self, instance: &InstanceId) {
+    pub(crate) fn close_link(&self, instance: &InstanceId) {
         self.links.borrow_mut().remove(instance);
     }
 
@@ -289,8 +293,8 @@
         events.on_message(&from, message);
         if last_receipt.is_none_or(|at| at.elapsed() >= RECEIPT_INTERVAL) {
             last_receipt = Some(Instant::now());
-            // A receipt that the socket buffer cannot take is skipped, as another follows. The writer
-            // closes a connection that has failed.
+            // A receipt that the socket buffer cannot take is skipped, as another follows. The
+            // writer closes a connection that has failed.
             let _ = stream.get_ref().try_write(&RECEIPT);
         }
     }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -2,9 +2,9 @@
 //!
 //! Each daemon keeps the whole table and judges requests by it, so that every daemon recognises a
 //! request that is sent again, whichever daemon leads and whichever daemons are away. New facts are
-//! sent to all daemons at once. A daemon that missed a fact, because a link was lost or the daemon had
-//! not started yet, receives it on the next link. As a second safeguard, each daemon whose table is
-//! not empty exchanges the hash of its table with one random other daemon each second.
+//! sent to all daemons at once. A daemon that missed a fact, because a link was lost or the daemon
+//! had not started yet, receives it on the next link. As a second safeguard, each daemon whose
+//! table is not empty exchanges the hash of its table with one random other daemon each second.
 
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
@@ -23,12 +23,12 @@
 use crate::peers::PeerMessage;
 use crate::quarantine_disk::QuarantineDisk;
 
-/// The interval at which the table is compared with another daemon's and old cases are removed. With
-/// 360 daemons, a fact that one daemon knows reaches all of them within about ten intervals.
+/// The interval at which the table is compared with another daemon's and old cases are removed.
+/// With 360 daemons, a fact that one daemon knows reaches all of them within about ten intervals.
 const COMPARE_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// The offset of the table's times from the times of the process, which begin near zero. The offset is
-/// longer than any case is kept, so that ends before the start of this process keep their ages.
+/// The offset of the table's times from the times of the process, which begin near zero. The offset
+/// is longer than any case is kept, so that ends before the start of this process keep their ages.
 const TABLE_TIME_OFFSET: Duration = Duration::from_secs(7 * 24 * 3_600);
 
 /// The maximum number of requests in one message, which limits the length of a frame.
@@ -40,19 +40,20 @@
     pub(crate) table: QuarantineTable,
     /// The requests whose quarantine has been logged.
     logged: BTreeSet<RequestDigest>,
-    /// What was last passed to the disk thread: each request with its number of ends and its number of
-    /// cleared ends.
+    /// What was last passed to the disk thread: each request with its number of ends and its number
+    /// of cleared ends.
     persisted: Vec<(RequestDigest, usize, usize)>,
-    /// Stores the cases that must survive the end of all processes. Only daemons with a disk have it.
+    /// Stores the cases that must survive the end of all processes. Only daemons with a disk have
+    /// it.
     disk: Option<QuarantineDisk>,
 }
 
 impl Gateway {
     /// Records that an endpoint ended under a request of one of this daemon's callers.
     pub(crate) fn record_endpoint_end(&self, digest: RequestDigest, endpoint: &EndpointStart) {
-        let news =
+        let update =
             self.quarantine.borrow_mut().table.record_end(self.case_time(), digest, endpoint);
-        self.on_quarantine_change(news);
+        self.on_quarantine_change(update);
     }
 
     /// Records that a request was answered completely, so that it did not cause the earlier ends of
@@ -61,8 +62,8 @@
         if self.quarantine.borrow().table.is_empty() {
             return;
         }
-        let news = self.quarantine.borrow_mut().table.clear_request(self.case_time(), digest());
-        self.on_quarantine_change(news);
+        let update = self.quarantine.borrow_mut().table.clear_request(self.case_time(), digest());
+        self.on_quarantine_change(update);
     }
 
     /// Lists the suspect and the quarantined requests.
@@ -73,9 +74,9 @@
     /// Releases a request on an operator's behalf: the ends of endpoints under it no longer count
     /// against it. Returns whether any did.
     pub(crate) fn release_request(&self, digest: RequestDigest) -> bool {
-        let news = self.quarantine.borrow_mut().table.clear_request(self.case_time(), digest);
-        let is_released = news.is_some();
-        self.on_quarantine_change(news);
+        let update = self.quarantine.borrow_mut().table.clear_request(self.case_time(), digest);
+        let is_released = update.is_some();
+        self.on_quarantine_change(update);
         is_released
     }
 
@@ -99,9 +100,9 @@
         state.table.standing(self.case_time(), digest())
     }
 
-    /// Begins the due trial of a quarantined request if this daemon is the one to run it; returns whether
-    /// it is. Only one of the daemons in reach runs the trial, so that the request reaches one endpoint
-    /// and not one endpoint per daemon.
+    /// Begins the due trial of a quarantined request if this daemon is the one to run it; returns
+    /// whether it is. Only one of the daemons in reach runs the trial, so that the request reaches
+    /// one endpoint and not one endpoint per daemon.
     pub(crate) fn try_begin_trial(&self, digest: RequestDigest) -> bool {
         let now = self.now();
         let own_rank = rank(&self.own, &digest);
@@ -118,12 +119,12 @@
         is_first
     }
 
-    /// Merges the facts that another daemon sent, and forwards those that are new.
-    pub(crate) fn on_case_news(&self, from: &InstanceId, news: &[CaseUpdate]) {
+    /// Merges case updates from another daemon, and forwards the new ones.
+    pub(crate) fn on_case_updates(&self, from: &InstanceId, updates: &[CaseUpdate]) {
         let now = self.case_time();
         let fresh: Vec<CaseUpdate> = {
             let table = &mut self.quarantine.borrow_mut().table;
-            news.iter().filter(|case| table.merge(now, case)).cloned().collect()
+            updates.iter().filter(|case| table.merge(now, case)).cloned().collect()
         };
         let to = self.forward_targets(from);
         for message in case_messages(&fresh) {
@@ -134,8 +135,9 @@
         }
     }
 
-    /// Handles the hash of another daemon's table. If the tables differ, sends all cases of this daemon
-    /// and, unless the message is itself an answer, its hash, so that the other daemon sends its cases.
+    /// Handles the hash of another daemon's table. If the tables differ, sends all cases of this
+    /// daemon and, unless the message is itself an answer, its hash, so that the other daemon sends
+    /// its cases.
     pub(crate) fn on_case_hash(&self, from: &InstanceId, hash: u64, is_answer: bool) {
         if hash == self.case_hash() {
             return;
@@ -149,8 +151,8 @@
         }
     }
 
-    /// Returns the cases to send on a new link to a daemon; `is_reconnected` means that an earlier link
-    /// to it was lost.
+    /// Returns the cases to send on a new link to a daemon; `is_reconnected` means that an earlier
+    /// link to it was lost.
     pub(crate) fn cases_for(&self, to: &InstanceId, is_reconnected: bool) -> Vec<PeerMessage> {
         let is_sender = is_reconnected || self.settings().data_folder.is_some() || {
             let roster = self.roster.borrow();
@@ -194,14 +196,14 @@
         // The thread sends nothing if its disk hangs for good.
         if let Ok(cases) = loaded.await {
             let own = self.own.clone();
-            self.on_case_news(&own, &cases);
+            self.on_case_updates(&own, &cases);
             self.broadcast_cases(&cases);
         }
     }
 
-    fn on_quarantine_change(&self, news: Option<CaseUpdate>) {
-        if let Some(news) = news {
-            self.broadcast_cases(&[news]);
+    fn on_quarantine_change(&self, update: Option<CaseUpdate>) {
+        if let Some(update) = update {
+            self.broadcast_cases(&[update]);
             self.record_standings(None);
         }
     }
@@ -250,18 +252,18 @@
         let mut state = self.quarantine.borrow_mut();
         let state = &mut *state;
         let Some(disk) = &state.disk else { return };
-        let news = state.table.durable_updates(self.case_time());
+        let updates = state.table.durable_updates(self.case_time());
         let lasting: Vec<_> =
-            news.iter().map(|case| (case.digest, case.ends.len(), case.cleared.len())).collect();
+            updates.iter().map(|case| (case.digest, case.ends.len(), case.cleared.len())).collect();
         if lasting != state.persisted {
             state.persisted = lasting;
-            disk.store(news);
+            disk.store(updates);
         }
     }
 
-    fn broadcast_cases(&self, news: &[CaseUpdate]) {
+    fn broadcast_cases(&self, updates: &[CaseUpdate]) {
         let to = self.broadcast_targets();
-        for message in case_messages(news) {
+        for message in case_messages(updates) {
             self.mesh.send_all(&to, &message);
         }
     }
@@ -282,6 +284,6 @@
     }
 }
 
-fn case_messages(news: &[CaseUpdate]) -> Vec<PeerMessage> {
-    news.chunks(MAX_CASES_PER_MESSAGE).map(|cases| PeerMessage::Cases(cases.to_vec())).collect()
+fn case_messages(updates: &[CaseUpdate]) -> Vec<PeerMessage> {
+    updates.chunks(MAX_CASES_PER_MESSAGE).map(|cases| PeerMessage::Cases(cases.to_vec())).collect()
 }
--- a/crates/gateway/src/replica/mod.rs
+++ b/crates/gateway/src/replica/mod.rs
@@ -1,5 +1,5 @@
-//! Runs the replica of the log on a daemon with a disk: drives the consensus node, applies committed
-//! entries to the replicated state, and restarts the replica after a disk failure.
+//! Runs the replica of the log on a daemon with a disk: drives the consensus node, applies
+//! committed entries to the replicated state, and restarts the replica after a disk failure.
 
 mod state;
 #[cfg(test)]
@@ -29,17 +29,17 @@
 use storage::StorageThread;
 use watch::{LeaderWatch, RecoveryNote};
 
-/// The minimum time without a leader before an election; the maximum is twice this. It is longer than
-/// the retransmission of a lost packet (200 ms) and than several heartbeats. A replica that is slow
-/// for longer does not depose the leader, because a pre-vote precedes each
-/// election that follows this time-out.
+/// The minimum time without a leader before an election; the maximum is twice this. It is longer
+/// than the retransmission of a lost packet (200 ms) and than several heartbeats. A replica that is
+/// slow for longer does not depose the leader, because a pre-vote precedes each election that
+/// follows this time-out.
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// The interval between heartbeats of a leader.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(80);
 
-/// The maximum difference in rate between two monotonic clocks, in percent. Real clocks differ by less
-/// than a thousandth of that.
+/// The maximum difference in rate between two monotonic clocks, in percent. Real clocks differ by
+/// less than a thousandth of that.
 const DRIFT_PERCENT: u32 = 10;
 
 /// The size limit of the entries or the snapshot chunk in one message.
@@ -55,7 +55,7 @@
 /// A snapshot is taken after this many entries.
 const SNAPSHOT_INTERVAL_ENTRIES: u64 = 1_000;
 
-/// A leader whose disk has not completed a sync for this long hands over leadership. This is well
+/// A leader whose disk has not completed a sync for this long transfers leadership. This is well
 /// below the time in which a document has to be acknowledged, and well above a sync of a slow disk.
 const DISK_TIMEOUT: Duration = Duration::from_millis(500);
 
@@ -92,8 +92,8 @@
 struct RunningReplica {
     node: ConsensusNode,
     batches: mpsc::Sender<PersistBatch>,
-    /// Messages that may be sent once their batch is synced, with the batch's sequence number and the
-    /// time at which the storage thread received the batch.
+    /// Messages that may be sent once their batch is synced, with the batch's sequence number and
+    /// the time at which the storage thread received the batch.
     unsynced: VecDeque<(u64, Vec<Envelope>, MonotonicTime)>,
     state: ReplicatedState,
     applied: LogIndex,
@@ -126,7 +126,7 @@
     running: Option<RunningReplica>,
     reopen_at: MonotonicTime,
     /// Data that a failed sync left on the disk, to be cut off before the disk is read again.
-    suspects: UnsyncedTails,
+    unsynced_tails: UnsyncedTails,
     /// The state recovered by the last start, until it has been logged.
     recovery: Option<RecoveryNote>,
     watch: LeaderWatch,
@@ -146,7 +146,7 @@
             opened: None,
             running: None,
             reopen_at: MonotonicTime::ZERO,
-            suspects: UnsyncedTails::default(),
+            unsynced_tails: UnsyncedTails::default(),
             recovery: None,
             watch: LeaderWatch::default(),
         }
@@ -185,7 +185,7 @@
         let (batches, batch_receiver) = mpsc::channel();
         let thread = StorageThread {
             folder: self.folder.clone(),
-            suspects: self.suspects.clone(),
+            unsynced_tails: self.unsynced_tails.clone(),
             batches: batch_receiver,
             reports: self.reports.clone(),
         };
@@ -211,11 +211,11 @@
     /// Starts the replica on an empty disk to join the system of the contacts.
     pub(crate) fn join(&mut self, now: MonotonicTime, contacts: &[InstanceId]) {
         self.start(now, Vec::new());
-        self.learn_contacts(contacts);
+        self.set_contacts(contacts);
     }
 
-    /// Adds replicas that this replica asks for membership.
-    pub(crate) fn learn_contacts(&mut self, contacts: &[InstanceId]) {
+    /// Sets the replicas that this replica asks for membership.
+    pub(crate) fn set_contacts(&mut self, contacts: &[InstanceId]) {
         if let Some(running) = &mut self.running {
             running.node.set_contacts(contacts.iter().cloned());
         }
@@ -247,8 +247,8 @@
 
     /// Handles a report of the storage thread; returns the failure if the disk failed.
     ///
-    /// A disk failure drops the replica, as a crash would. This is safe because unsynced data has not
-    /// been acknowledged to anyone, but the contents of the disk have to be read again.
+    /// A disk failure drops the replica, as a crash would. This is safe because unsynced data has
+    /// not been acknowledged to anyone, but the contents of the disk have to be read again.
     pub(crate) fn report(
         &mut self,
         now: MonotonicTime,
@@ -257,7 +257,7 @@
         let mut effects = ReplicaEffects::default();
         match report {
             StorageReport::Opened(recovered) => {
-                self.suspects = UnsyncedTails::default();
+                self.unsynced_tails = UnsyncedTails::default();
                 let opening = self.opening.take();
                 self.opened = opening.map(|batches| OpenedStore { recovered, batches });
                 (effects, None)
@@ -268,8 +268,8 @@
                 }
                 (effects, None)
             }
-            StorageReport::Failed(error, suspects) => {
-                self.suspects = suspects;
+            StorageReport::Failed(error, unsynced_tails) => {
+                self.unsynced_tails = unsynced_tails;
                 self.opening = None;
                 self.opened = None;
                 let running = self.running.take();
@@ -284,7 +284,7 @@
         }
     }
 
-    /// Advances the node's clock, and hands over leadership if the disk has stalled.
+    /// Advances the node's clock, and transfers leadership if the disk has stalled.
     pub(crate) fn tick(&mut self, now: MonotonicTime) {
         let Some(running) = &mut self.running else { return };
         running.node.tick(now);
@@ -322,8 +322,8 @@
         }
     }
 
-    /// Hands over leadership to another replica if this replica leads; returns whether it did.
-    pub(crate) fn hand_over(&mut self, now: MonotonicTime) -> bool {
+    /// Transfers leadership to another replica if this replica leads; returns whether it did.
+    pub(crate) fn transfer_leadership(&mut self, now: MonotonicTime) -> bool {
         self.running.as_mut().is_some_and(|running| running.node.transfer_leadership(now))
     }
 
@@ -349,7 +349,7 @@
     /// Returns how long the running replica has had no leader, if a report of that is due.
     pub(crate) fn leaderless(&mut self, now: MonotonicTime) -> Option<Duration> {
         let node = &self.running.as_ref()?.node;
-        self.watch.note(now, node.leader().is_some())
+        self.watch.record(now, node.leader().is_some())
     }
 
     /// Sets the instances that should be voters.
@@ -361,12 +361,12 @@
         }
     }
 
-    /// Returns the newest state if this replica holds the leader's lease and has applied all entries
-    /// that any leader has acknowledged.
+    /// Returns the newest state if this replica holds the leader's lease and has applied all
+    /// entries that any leader has acknowledged.
     pub(crate) fn state_as_leader(&self, now: MonotonicTime) -> Option<&ReplicatedState> {
         let running = self.running.as_ref()?;
-        let is_sure = running.node.holds_lease(now) && running.applied >= running.node.commit();
-        is_sure.then_some(&running.state)
+        let is_current = running.node.holds_lease(now) && running.applied >= running.node.commit();
+        is_current.then_some(&running.state)
     }
 }
 
--- a/crates/gateway/src/replica/storage.rs
+++ b/crates/gateway/src/replica/storage.rs
@@ -24,8 +24,8 @@
     Opened(RecoveredLog),
     /// All batches up to this sequence number are synced.
     Synced(u64),
-    /// The disk failed, and the thread ends. The contents of the disk are unknown, so the replica has
-    /// to be read again, without the data that appears durable but was not synced.
+    /// The disk failed, and the thread ends. The contents of the disk are unknown, so the replica
+    /// has to be read again, without the data that appears durable but was not synced.
     Failed(StorageError, UnsyncedTails),
 }
 
@@ -33,9 +33,9 @@
 pub(crate) struct StorageThread {
     pub(crate) folder: PathBuf,
     /// Data that an earlier thread wrote to the disk and did not sync.
-    pub(crate) suspects: UnsyncedTails,
+    pub(crate) unsynced_tails: UnsyncedTails,
     pub(crate) batches: mpsc::Receiver<PersistBatch>,
-    /// Unbounded, but holds at most one report for each batch and two others.
+    /// Unbounded, but holds at most one report for each batch and two other reports.
     pub(crate) reports: UnboundedSender<StorageReport>,
 }
 
@@ -51,7 +51,7 @@
 
     fn run(mut self) {
         let opened = DiskFolder::open(&self.folder).and_then(|folder| {
-            LogStore::open_after_failure(folder, SEGMENT_BYTES, &mut self.suspects)
+            LogStore::open_after_failure(folder, SEGMENT_BYTES, &mut self.unsynced_tails)
         });
         match opened {
             Ok((store, recovered)) => {
@@ -60,8 +60,8 @@
                 }
             }
             Err(error) => {
-                let suspects = std::mem::take(&mut self.suspects);
-                self.report(StorageReport::Failed(error, suspects));
+                let unsynced_tails = std::mem::take(&mut self.unsynced_tails);
+                self.report(StorageReport::Failed(error, unsynced_tails));
             }
         }
     }
--- a/crates/gateway/src/replica/watch.rs
+++ b/crates/gateway/src/replica/watch.rs
@@ -6,8 +6,8 @@
 use oriolepass_storage::RecoveredLog;
 use oriolepass_units::{LeaderTerm, LogIndex, MonotonicTime};
 
-/// The time without a leader before the first report, and the interval between reports. It is longer
-/// than an election, so ordinary elections are not reported.
+/// The time without a leader before the first report, and the interval between reports. It is
+/// longer than an election, so ordinary elections are not reported.
 const LEADERLESS_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The state that a start recovered from the disk.
@@ -39,7 +39,7 @@
 
 impl LeaderWatch {
     /// Records whether there is a leader; returns how long there has been none if a report is due.
-    pub(crate) fn note(&mut self, now: MonotonicTime, has_leader: bool) -> Option<Duration> {
+    pub(crate) fn record(&mut self, now: MonotonicTime, has_leader: bool) -> Option<Duration> {
         if has_leader {
             *self = Self::default();
             return None;
--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -1,5 +1,5 @@
-//! Runs the replica of the log inside the gateway: advances its clock, handles storage reports, founds
-//! or joins a system, sends its messages, and maintains the set of voters.
+//! Runs the replica of the log inside the gateway: advances its clock, handles storage reports,
+//! founds or joins a system, sends its messages, and maintains the set of voters.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Logs that the replica has no leader, with the voters and the other live replicas. The log line
-    /// thus distinguishes a missing majority from a majority that does not agree on a leader.
+    /// Logs that the replica has no leader, with the voters and the other live replicas. The log
+    /// line thus distinguishes a missing majority from a majority that does not agree on a leader.
     fn report_no_leader(&self, now: MonotonicTime, time: Duration) {
         let voters = self.own_voters();
         let replicas: Vec<InstanceId> = {
@@ -243,8 +243,8 @@
         }
     }
 
-    /// Reviews the voters at an interval: the leader replaces lost voters, and a replica that is not a
-    /// member yet learns the voters that it can ask for membership.
+    /// Reviews the voters at an interval: the leader replaces lost voters, and a replica that is
+    /// not a member yet learns the voters that it can ask for membership.
     pub(crate) async fn maintain_voters(self: Rc<Self>) {
         loop {
             sleep(VOTER_REVIEW_INTERVAL).await;
@@ -258,7 +258,7 @@
         let settings = self.settings();
         let mut replica = self.replica.borrow_mut();
         let Some(replica) = replica.as_mut() else { return };
-        replica.learn_contacts(&contacts);
+        replica.set_contacts(&contacts);
         let Some(node) = replica.node().filter(|node| node.holds_lease(now)) else { return };
         let wanted = node.voters().wanted.clone();
         let mut disks: BTreeMap<InstanceId, DiskDaemon> = {
