--- a/crates/experiment/src/fleet_run.rs
+++ b/crates/experiment/src/fleet_run.rs
@@ -23,7 +23,7 @@
     Predicting,
     /// The engine with the fewest open answers, which processes the prompt alone.
     LeastOutstanding,
-    /// The engines in round_robin_index. One engine processes the prompt alone.
+    /// Each engine in turn, which processes the prompt alone.
     RoundRobin,
 }
 
