--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A deployment on loopback.
+//! Runs a deployment of daemons, engines and plain services on loopback.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
@@ -18,26 +18,26 @@
 
 use crate::{MODEL, OperatorClient, POOL_KEY, ROOT_KEY, SERVICE, account_key};
 
-/// What a deployment consists of.
+/// Composition of a deployment.
 #[derive(Debug, Clone)]
 pub struct FleetPlan {
-    /// The data centres.
+    /// Names of the data centres.
     pub data_centres: Vec<String>,
-    /// Daemons in each.
+    /// Number of daemons in each data centre.
     pub daemons_per_data_centre: usize,
-    /// How many daemons hold the log; they are spread over the data centres.
+    /// Number of daemons that vote and store the log. Voters are spread over the data centres.
     pub voters: usize,
-    /// Engines in all.
+    /// Number of engines in the whole deployment.
     pub engines: usize,
-    /// Plain services in all.
+    /// Number of plain services in the whole deployment.
     pub services: usize,
-    /// Client accounts; the first two are large.
+    /// Number of client accounts. The first two have a share of 4, the others a share of 1.
     pub accounts: usize,
-    /// What the engines are like.
+    /// Configuration of every engine.
     pub engine: EngineConfig,
-    /// How long callers keep addresses.
+    /// How long callers may keep the addresses that a daemon gave them.
     pub address_keep: Duration,
-    /// Changes to each daemon's limits.
+    /// The limit `max_requests` of each daemon.
     pub max_requests: u64,
 }
 
@@ -57,27 +57,28 @@
     }
 }
 
-/// A running deployment.
+/// A running deployment on loopback.
 pub struct Fleet {
     plan: FleetPlan,
     settings: Vec<DaemonSettings>,
     daemons: Vec<Option<Daemon>>,
-    /// The engines.
+    /// The running engines.
     pub engines: Vec<EngineServer>,
-    /// The plain services.
+    /// The running plain services.
     pub services: Vec<ServiceServer>,
-    /// An operator of the root team.
+    /// Client with the key of the root team.
     pub operator: OperatorClient,
     incarnation: u64,
     _folder: TempDir,
 }
 
 impl Fleet {
-    /// Starts a deployment and waits until it serves.
+    /// Starts a deployment and waits until all endpoints are live.
     ///
     /// # Errors
     ///
-    /// Returns an error when something does not start or nothing is served in time.
+    /// Returns an error when a daemon or an endpoint does not start, a setup change is not accepted
+    /// and in force in time, or the endpoints are not live in time.
     pub async fn start(plan: FleetPlan) -> Result<Self> {
         let folder = tempfile::tempdir()?;
         let count = plan.data_centres.len() * plan.daemons_per_data_centre;
@@ -102,7 +103,7 @@
         };
         fleet.configure().await?;
         fleet.start_endpoints().await?;
-        fleet.wait_served().await?;
+        fleet.wait_until_live().await?;
         Ok(fleet)
     }
 
@@ -120,7 +121,8 @@
             replicas: Default::default(),
             max_prompt: TokenCount(1_100_000),
         };
-        let mut last = put("setup-model".into(), MODEL.into(), ObjectSpec::Model(model)).await?;
+        let mut last_change =
+            put("setup-model".into(), MODEL.into(), ObjectSpec::Model(model)).await?;
         for number in 0..self.plan.accounts {
             let account = AccountSpec {
                 keys: vec![KeyHash::of(&account_key(number))],
@@ -128,9 +130,9 @@
                 max_held: None,
             };
             let (id, name) = (format!("setup-account-{number}"), format!("account-{number}"));
-            last = put(id, name, ObjectSpec::Account(account)).await?;
+            last_change = put(id, name, ObjectSpec::Account(account)).await?;
         }
-        self.operator.wait_in_force(daemon, last.config_revision).await
+        self.operator.wait_in_force(daemon, last_change.config_revision).await
     }
 
     async fn start_endpoints(&mut self) -> Result<()> {
@@ -149,11 +151,11 @@
         Ok(())
     }
 
-    /// Starts an engine under the name of a number, as one that was killed comes back.
+    /// Starts the engine with this number under a new incarnation, also to replace a killed engine.
     ///
     /// # Errors
     ///
-    /// Returns an error when it does not start.
+    /// Returns an error when the engine does not start.
     pub async fn start_engine(&mut self, number: usize) -> Result<EngineServer> {
         let data_centre = self.data_centre(number)?;
         let endpoint = format!("engine-{number}").parse()?;
@@ -175,15 +177,15 @@
         Ok(self.plan.data_centres[number % self.plan.data_centres.len()].parse()?)
     }
 
-    /// Waits until all endpoints are live.
+    /// Waits until all endpoints are live and all running daemons are ready.
     ///
     /// # Errors
     ///
-    /// Returns an error when they are not within twenty seconds.
-    pub async fn wait_served(&self) -> Result<()> {
+    /// Returns an error when the deployment does not reach this state within twenty seconds.
+    pub async fn wait_until_live(&self) -> Result<()> {
         use oriolepass_schema::operator::EndpointState;
 
-        let wanted = self.engines.len() + self.services.len();
+        let expected = self.engines.len() + self.services.len();
         let mut live = 0;
         for _ in 0..400 {
             live = 0;
@@ -195,27 +197,27 @@
                     live += status.endpoints.iter().filter(is_live).count();
                 }
             }
-            if live >= wanted && self.running().all(|n| self.daemon(n).is_ready()) {
-                // The homes' digests reach everyone a moment later.
+            if live >= expected && self.running().all(|n| self.daemon(n).is_ready()) {
+                // Every daemon receives the digests of the homes shortly afterwards.
                 tokio::time::sleep(Duration::from_millis(500)).await;
                 return Ok(());
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        bail!("{live} of {wanted} endpoints are live")
+        bail!("{live} of {expected} endpoints are live")
     }
 
-    /// Returns the numbers of the daemons that run.
+    /// Returns the numbers of the running daemons.
     pub fn running(&self) -> impl Iterator<Item = usize> {
         (0..self.daemons.len()).filter(|number| self.daemons[*number].is_some())
     }
 
-    /// Returns how many daemons there are, running or not.
+    /// Returns the number of daemons, running or stopped.
     pub fn len(&self) -> usize {
         self.daemons.len()
     }
 
-    /// Returns whether there are no daemons.
+    /// Returns whether the deployment has no daemons.
     pub fn is_empty(&self) -> bool {
         self.daemons.is_empty()
     }
@@ -224,87 +226,87 @@
     ///
     /// # Panics
     ///
-    /// Panics when it does not run.
+    /// Panics when the daemon is not running.
     pub fn daemon(&self, number: usize) -> &Daemon {
         self.daemons[number].as_ref().expect("the daemon runs")
     }
 
-    /// Returns a daemon's settings.
+    /// Returns the settings of a daemon.
     pub fn settings(&self, number: usize) -> &DaemonSettings {
         &self.settings[number]
     }
 
-    /// Returns a daemon's settings, to be changed before it is started again.
+    /// Returns the settings of a daemon for changes that take effect at its next start.
     pub fn settings_mut(&mut self, number: usize) -> &mut DaemonSettings {
         &mut self.settings[number]
     }
 
-    /// Returns where callers reach a daemon.
+    /// Returns the address of a daemon's callers' listener.
     pub fn callers(&self, number: usize) -> SocketAddr {
         self.settings[number].listen.callers
     }
 
-    /// Returns where operators reach a daemon.
+    /// Returns the address of a daemon's operators' listener.
     pub fn operators(&self, number: usize) -> SocketAddr {
         self.settings[number].listen.operators
     }
 
-    /// Takes a daemon out, to be drained, stopped or killed.
+    /// Removes a running daemon from the fleet, so that the caller can drain, stop or kill it.
     ///
     /// # Panics
     ///
-    /// Panics when it does not run.
+    /// Panics when the daemon is not running.
     pub fn take(&mut self, number: usize) -> Daemon {
         self.daemons[number].take().expect("the daemon runs")
     }
 
-    /// Kills a daemon: nothing is told to anyone.
+    /// Kills a daemon without notifying its peers, callers or endpoints.
     ///
     /// # Errors
     ///
-    /// Returns an error when the task that waits for its threads is lost.
+    /// Returns an error when the task that joins the daemon's threads fails.
     pub async fn kill(&mut self, number: usize) -> Result<()> {
         let daemon = self.take(number);
         Ok(tokio::task::spawn_blocking(move || daemon.kill()).await?)
     }
 
-    /// Drains a daemon; returns the number of requests that had to be given up.
+    /// Drains a daemon and returns the number of requests that were aborted.
     ///
     /// # Errors
     ///
-    /// Returns an error when the task that waits for its threads is lost.
+    /// Returns an error when the task that joins the daemon's threads fails.
     pub async fn drain(&mut self, number: usize) -> Result<u64> {
         let daemon = self.take(number);
         Ok(tokio::task::spawn_blocking(move || daemon.drain()).await?)
     }
 
-    /// Starts a daemon again on its addresses and data folder.
+    /// Starts a stopped daemon on its previous addresses and data folder.
     ///
     /// # Errors
     ///
-    /// Returns an error when it does not start.
+    /// Returns an error when the daemon does not start or its addresses are still in use.
     pub async fn restart(&mut self, number: usize) -> Result<()> {
         let settings = self.settings[number].clone();
-        let mut last = None;
+        let mut last_error = None;
         for _ in 0..100 {
             match DaemonListeners::bind(&settings.listen) {
                 Ok(listeners) => {
                     self.daemons[number] = Some(Daemon::start(settings, listeners)?);
                     return Ok(());
                 }
-                Err(error) => last = Some(error),
+                Err(error) => last_error = Some(error),
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        bail!("the daemon's addresses are not free: {last:?}")
+        bail!("cannot bind the addresses of daemon {number}: {last_error:?}")
     }
 
-    /// Empties a stopped daemon's data folder, as a replaced disk has.
+    /// Deletes the data folder of a stopped daemon to simulate a replaced disk.
     ///
     /// # Errors
     ///
-    /// Returns the operating system's error.
-    pub fn lose_disk(&self, number: usize) -> Result<()> {
+    /// Returns the error of the operating system.
+    pub fn delete_data_folder(&self, number: usize) -> Result<()> {
         if let Some(folder) = &self.settings[number].instance.data_folder {
             std::fs::remove_dir_all(folder)?;
         }
@@ -322,8 +324,8 @@
     listeners: &[DaemonListeners],
     folder: &Path,
 ) -> Result<Vec<DaemonSettings>> {
-    // Daemon n stands in data centre n modulo their number, so the first ones, which vote, are
-    // spread.
+    // Daemon n belongs to data centre n modulo the number of data centres. The first daemons are
+    // the voters, so the voters are spread over the data centres.
     let names: Vec<String> = (0..listeners.len())
         .map(|n| format!("{}-{n}", plan.data_centres[n % plan.data_centres.len()]))
         .collect();
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,8 +1,9 @@
-//! Whole deployments in one process: daemons in several data centres, stand-in engines and
-//! services, operators and callers, all on loopback. Not shipped.
+//! Runs complete deployments in one process for tests and benchmarks: daemons in several data
+//! centres, stand-in engines and services, operators and callers, all on loopback. Not shipped.
 //!
-//! [`Fleet`] starts them, with free ports and data folders of its own. [`OperatorClient`] makes
-//! the operators' calls. [`DaemonProcess`] is one daemon as a process. [`LatencyTable`] collects and prints times by length class.
+//! [`Fleet`] starts a deployment on free ports with its own data folders. [`OperatorClient`] calls
+//! the operators' API. [`DaemonProcess`] runs one daemon as a separate process. [`LatencyTable`]
+//! collects latencies by prompt length class and prints them.
 
 mod fleet;
 mod operator;
@@ -20,13 +21,13 @@
 /// The key of the endpoints' pool in a [`Fleet`].
 pub const POOL_KEY: &str = "testbed-pool-key-0001";
 
-/// The model that a [`Fleet`]'s engines serve.
+/// The model served by the engines of a [`Fleet`].
 pub const MODEL: &str = "oriole-large";
 
-/// The plain service of a [`Fleet`].
+/// The name of the plain service in a [`Fleet`].
 pub const SERVICE: &str = "subscriptions";
 
-/// Returns the key of an account in a [`Fleet`].
+/// Returns the key of the client account with this number in a [`Fleet`].
 pub fn account_key(number: usize) -> String {
     format!("testbed-account-key-{number:04}")
 }
--- a/crates/testbed/src/operator.rs
+++ b/crates/testbed/src/operator.rs
@@ -1,4 +1,4 @@
-//! An operator who uses the remote calls.
+//! Client for the operators' HTTP API.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,23 +11,23 @@
 use oriolepass_units::ObjectRevision;
 use serde_json::Value;
 
-/// An operator with a key.
+/// HTTP client that authenticates with an operator's key.
 #[derive(Debug, Clone)]
 pub struct OperatorClient {
     key: String,
 }
 
 impl OperatorClient {
-    /// Creates an operator.
+    /// Creates a client that authenticates with `key`.
     pub fn new(key: &str) -> Self {
         Self { key: key.to_owned() }
     }
 
-    /// Makes a call and returns the answer, whatever it is.
+    /// Sends a request and returns the response, whatever its status.
     ///
     /// # Errors
     ///
-    /// Returns an error when there is no answer.
+    /// Returns an error when no response arrives.
     pub async fn call(
         &self,
         daemon: SocketAddr,
@@ -38,11 +38,11 @@
         call_json(daemon, method, path, Some(&self.key), body).await.map_err(|e| eyre!(e))
     }
 
-    /// Writes an object, trying again until it is accepted or refused.
+    /// Writes an object. Resends the change until a daemon accepts or refuses it.
     ///
     /// # Errors
     ///
-    /// Returns the refusal, or an error when nothing was accepted within ten seconds.
+    /// Returns the refusal, or an error when the change is not accepted within ten seconds.
     pub async fn put(
         &self,
         daemon: SocketAddr,
@@ -59,29 +59,29 @@
             reason: String::new(),
         };
         let body = serde_json::to_string(&call)?;
-        let mut last = String::new();
+        let mut last_response = String::new();
         for _ in 0..200 {
             match self.call(daemon, "POST", "/v1/changes", body.clone()).await {
                 Ok(answer) if answer.status == 200 => {
                     return Ok(serde_json::from_str(&answer.body)?);
                 }
                 Ok(answer) if matches!(answer.status, 400 | 403 | 409) => bail!(answer.body),
-                Ok(answer) => last = answer.body,
-                Err(error) => last = error.to_string(),
+                Ok(answer) => last_response = answer.body,
+                Err(error) => last_response = error.to_string(),
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        bail!("no answer to change {change_id}: {last}")
+        bail!("change {change_id} was neither accepted nor refused; last response: {last_response}")
     }
 
-    /// Waits until a revision is in force everywhere.
+    /// Waits until a revision is in force on every daemon.
     ///
     /// # Errors
     ///
-    /// Returns an error when it is not within ten seconds.
+    /// Returns an error when the revision is not in force within ten seconds.
     pub async fn wait_in_force(&self, daemon: SocketAddr, revision: ObjectRevision) -> Result<()> {
         let path = format!("/v1/in-force?revision={revision}");
-        let mut last = String::new();
+        let mut last_response = String::new();
         for _ in 0..500 {
             let answer = self.call(daemon, "GET", &path, String::new()).await;
             if let Ok(answer) = answer {
@@ -89,28 +89,28 @@
                 if in_force.is_ok_and(|in_force| in_force.everywhere) {
                     return Ok(());
                 }
-                last = answer.body;
+                last_response = answer.body;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        bail!("revision {revision} is not in force everywhere: {last}")
+        bail!("revision {revision} is not in force everywhere; last response: {last_response}")
     }
 
-    /// Asks for the status.
+    /// Returns the status of a daemon.
     ///
     /// # Errors
     ///
-    /// Returns an error when there is no such answer.
+    /// Returns an error when no response arrives or the response is not a status.
     pub async fn status(&self, daemon: SocketAddr) -> Result<StatusAnswer> {
         let answer = self.call(daemon, "GET", "/v1/status", String::new()).await?;
         Ok(serde_json::from_str(&answer.body)?)
     }
 
-    /// Asks for anything as JSON.
+    /// Sends a `GET` request and returns the response body as JSON.
     ///
     /// # Errors
     ///
-    /// Returns an error when there is no answer, or it is no JSON.
+    /// Returns an error when no response arrives or its body is not JSON.
     pub async fn get(&self, daemon: SocketAddr, path: &str) -> Result<Value> {
         let answer = self.call(daemon, "GET", path, String::new()).await?;
         Ok(serde_json::from_str(&answer.body)?)
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -1,4 +1,5 @@
-//! A daemon as a process of its own, for benches that measure it apart from the stand-ins.
+//! Runs a daemon in a separate process, so that benchmarks measure its resource usage without that
+//! of the stand-ins.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -11,32 +12,34 @@
 
 use crate::ROOT_KEY;
 
-/// Clock ticks of processor time a second, as the kernel counts them for every process.
+/// Clock ticks per second of processor time in `/proc/<pid>/stat`.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// What a process has used so far.
+/// Resource usage of a process since its start.
 #[derive(Debug, Clone, Copy)]
 pub struct ProcessUsage {
-    /// Processor time, of the process and the kernel for it.
+    /// Processor time in user and kernel mode.
     pub cpu: Duration,
-    /// Resident memory in bytes.
+    /// Current resident memory in bytes.
     pub resident: u64,
-    /// Open descriptors.
+    /// Number of open file descriptors.
     pub descriptors: usize,
 }
 
-/// Reads what a process has used.
+/// Reads the resource usage of a process from `/proc`.
 ///
 /// # Errors
 ///
-/// Returns an error when there is no such process.
+/// Returns an error when the process does not exist.
 pub fn process_usage(pid: u32) -> Result<ProcessUsage> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
-    // The name in parentheses may hold spaces; what follows does not.
+    // The command name in parentheses may contain spaces, so the fields after it are split.
     let fields: Vec<&str> =
         stat.rsplit_once(')').map_or("", |(_, rest)| rest).split_whitespace().collect();
     let ticks = |field: usize| fields.get(field).and_then(|text| text.parse::<f64>().ok());
-    let (Some(user), Some(system)) = (ticks(11), ticks(12)) else { bail!("/proc changed") };
+    let (Some(user), Some(system)) = (ticks(11), ticks(12)) else {
+        bail!("/proc/{pid}/stat has no processor times")
+    };
     let status = std::fs::read_to_string(format!("/proc/{pid}/status"))?;
     let resident = status
         .lines()
@@ -50,28 +53,29 @@
     })
 }
 
-/// One daemon as a process, the only voter of its system.
+/// A daemon in a separate process. The daemon is the only voter of its deployment.
 pub struct DaemonProcess {
     child: Child,
-    /// Where callers connect.
+    /// Address of the callers' listener.
     pub callers: SocketAddr,
-    /// Where operators connect.
+    /// Address of the operators' listener.
     pub operators: SocketAddr,
-    /// Where endpoints connect.
+    /// Address of the endpoints' listener.
     pub endpoints: SocketAddr,
     _folder: TempDir,
 }
 
 impl DaemonProcess {
-    /// Starts the daemon program, which must have been built beside this one.
+    /// Starts the daemon binary, which must have been built in the same target folder.
     ///
     /// # Errors
     ///
-    /// Returns an error when it is missing or does not start.
+    /// Returns an error when the binary is missing or does not start.
     pub fn start() -> Result<Self> {
         let folder = tempfile::tempdir()?;
-        let free = || TcpListener::bind("127.0.0.1:0")?.local_addr();
-        let (callers, operators, endpoints, peers) = (free()?, free()?, free()?, free()?);
+        let free_address = || TcpListener::bind("127.0.0.1:0")?.local_addr();
+        let (callers, operators, endpoints, peers) =
+            (free_address()?, free_address()?, free_address()?, free_address()?);
         let settings = folder.path().join("daemon.ini");
         std::fs::write(folder.path().join("key"), "testbed-cluster-key-0001")?;
         std::fs::write(
@@ -87,20 +91,20 @@
                 root = KeyHash::of(ROOT_KEY).0,
             ),
         )?;
-        let child = Command::new(program()?)
+        let child = Command::new(daemon_binary()?)
             .arg("--config")
             .arg(&settings)
             .stdin(Stdio::null())
             .spawn()
-            .wrap_err("the daemon program does not start")?;
+            .wrap_err("cannot start the daemon binary")?;
         Ok(Self { child, callers, operators, endpoints, _folder: folder })
     }
 
-    /// Returns what it has used so far.
+    /// Returns the resource usage of the daemon since its start.
     ///
     /// # Errors
     ///
-    /// Returns an error when it has ended.
+    /// Returns an error when the daemon has exited.
     pub fn usage(&self) -> Result<ProcessUsage> {
         process_usage(self.child.id())
     }
@@ -113,16 +117,19 @@
     }
 }
 
-/// Finds the daemon program beside the folder of this one.
-fn program() -> Result<PathBuf> {
-    let own = std::env::current_exe()?;
-    let found = own
+/// Finds the daemon binary in the folder of the current executable or in a parent folder.
+fn daemon_binary() -> Result<PathBuf> {
+    let executable = std::env::current_exe()?;
+    let found = executable
         .ancestors()
         .skip(1)
         .map(|folder| folder.join("oriolepassd"))
         .find(|path| Path::is_file(path));
     match found {
         Some(path) => Ok(path),
-        None => bail!("build the daemon first: cargo build --release -p oriolepass-daemon"),
+        None => bail!(
+            "daemon binary not found; build the daemon first: \
+             cargo build --release -p oriolepass-daemon"
+        ),
     }
 }
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,4 +1,4 @@
-//! Tables and small charts of times by length class.
+//! Prints tables and bar charts of latencies by prompt length class.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Write};
@@ -7,10 +7,10 @@
 use hdrhistogram::Histogram;
 use oriolepass_schema::caller::{BYTES_PER_TOKEN, PromptBody};
 
-/// Columns of the longest bar.
-const BAR_WIDTH: f64 = 40.0;
+/// Width of the longest bar in characters.
+const MAX_BAR_WIDTH_CHARS: f64 = 40.0;
 
-/// Makes a prompt of a length that no other seed has.
+/// Returns a pseudo-random prompt of `tokens` tokens. The text is different for each seed.
 pub fn text_prompt(seed: u64, tokens: usize) -> PromptBody {
     let length = tokens * BYTES_PER_TOKEN;
     let mut text = String::with_capacity(length + 16);
@@ -25,27 +25,27 @@
     PromptBody::Text(text)
 }
 
-/// Times by length class.
+/// Latency histograms by prompt length class or by other row names.
 #[derive(Debug, Default)]
 pub struct LatencyTable {
     rows: BTreeMap<String, Histogram<u64>>,
 }
 
 impl LatencyTable {
-    /// Adds a time.
+    /// Records a latency in a row.
     ///
     /// # Panics
     ///
-    /// Panics when the time is longer than a day.
-    pub fn record(&mut self, row: &str, time: Duration) {
+    /// Panics when the latency is longer than a day.
+    pub fn record(&mut self, row: &str, latency: Duration) {
         let histogram = self.rows.entry(row.to_owned()).or_insert_with(|| {
             Histogram::new_with_bounds(1, 86_400_000_000, 3).expect("valid bounds")
         });
-        let micros = u64::try_from(time.as_micros()).expect("below a day").max(1);
+        let micros = u64::try_from(latency.as_micros()).expect("below a day").max(1);
         histogram.record(micros).expect("below a day");
     }
 
-    /// Returns a quantile of a row in milliseconds.
+    /// Returns a quantile of a row in milliseconds, or `None` when the row has no samples.
     pub fn quantile_ms(&self, row: &str, quantile: f64) -> Option<f64> {
         self.rows.get(row).map(|h| h.value_at_quantile(quantile) as f64 / 1_000.0)
     }
@@ -74,8 +74,8 @@
         writeln!(f, "\n95th percentile, on a logarithmic scale")?;
         for (row, histogram) in &self.rows {
             let value = histogram.value_at_quantile(0.95).max(1);
-            let part = (value as f64).ln() / (longest.max(2) as f64).ln();
-            let width = (part * BAR_WIDTH).round().max(1.0) as usize;
+            let share = (value as f64).ln() / (longest.max(2) as f64).ln();
+            let width = (share * MAX_BAR_WIDTH_CHARS).round().max(1.0) as usize;
             writeln!(f, "{row:<24} {} {:.1} ms", "#".repeat(width), ms(value))?;
         }
         Ok(())
--- a/crates/testbed/tests/failures.rs
+++ b/crates/testbed/tests/failures.rs
@@ -181,7 +181,7 @@
     fleet.daemon(old).peer_faults().set_isolated(false);
     let list = wait_revision(&fleet, old, accepted.config_revision).await;
     assert!(names(&list).contains("after-the-cut"));
-    fleet.wait_served().await.expect("whole again");
+    fleet.wait_until_live().await.expect("whole again");
     caller().complete(fleet.callers(old), &call(3, 4)).await.expect("it serves again");
 }
 
@@ -233,13 +233,13 @@
     fleet.operator.put(daemon, "d-1", "one", 0, model(1)).await.expect("accepted");
     let first = (leader + 1) % 5;
     fleet.kill(first).await.expect("killed");
-    fleet.lose_disk(first).expect("lost");
+    fleet.delete_data_folder(first).expect("lost");
     fleet.operator.put(daemon, "d-2", "two", 0, model(1)).await.expect("accepted");
     fleet.restart(first).await.expect("restarted");
     // The second loss comes before anything has settled.
     let second = (leader + 2) % 5;
     fleet.kill(second).await.expect("killed");
-    fleet.lose_disk(second).expect("lost");
+    fleet.delete_data_folder(second).expect("lost");
     fleet.operator.put(daemon, "d-3", "three", 0, model(1)).await.expect("accepted");
     fleet.restart(second).await.expect("restarted");
     let answer = fleet.operator.put(daemon, "d-4", "four", 0, model(1)).await.expect("accepted");
@@ -384,7 +384,7 @@
     let failures = load.await.expect("no panic");
     assert!(failures.is_empty(), "{failures:?}");
     assert!(done.load(Ordering::SeqCst) > 100);
-    fleet.wait_served().await.expect("the endpoints found their new home");
+    fleet.wait_until_live().await.expect("the endpoints found their new home");
 }
 
 async fn homes_of(fleet: &Fleet) -> Vec<usize> {
@@ -489,7 +489,7 @@
         let given_up = fleet.drain(number).await.expect("drained");
         assert_eq!(given_up, 0, "a graceful shutdown cut off requests");
         fleet.restart(number).await.expect("restarted");
-        fleet.wait_served().await.expect("served again");
+        fleet.wait_until_live().await.expect("served again");
     }
     run.store(false, Ordering::SeqCst);
     let (done, failures) = load.await.expect("no panic");
