--- a/crates/testbed/tests/failures.rs
+++ b/crates/testbed/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Failures of daemons, real ones on loopback: kills, silent isolation, lost disks, restarts.
+//! Tests failures of real daemons on loopback: crashes, network isolation, lost disks and restarts.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -12,8 +12,8 @@
 use oriolepass_units::{InstanceId, ObjectRevision, TokenCount};
 use tokio::sync::Mutex;
 
-/// Fleets run one after the other: several at once would starve each other of processors.
-static ONE_FLEET: Mutex<()> = Mutex::const_new(());
+/// Serializes the tests. Concurrent fleets would starve each other of processor time.
+static FLEET_LOCK: Mutex<()> = Mutex::const_new(());
 
 fn model(version: u64) -> ObjectSpec {
     ObjectSpec::Model(ModelSpec {
@@ -42,15 +42,15 @@
     for _ in 0..400 {
         let status = fleet.operator.status(fleet.operators(ask)).await;
         let leader = status.ok().and_then(|status| status.leader);
-        if let Some(number) = leader.and_then(|leader| number_of(fleet, &leader)) {
+        if let Some(number) = leader.and_then(|leader| daemon_number(fleet, &leader)) {
             return number;
         }
         tokio::time::sleep(Duration::from_millis(25)).await;
     }
-    panic!("no leader");
+    panic!("no leader was elected within 10 s");
 }
 
-fn number_of(fleet: &Fleet, instance: &InstanceId) -> Option<usize> {
+fn daemon_number(fleet: &Fleet, instance: &InstanceId) -> Option<usize> {
     (0..fleet.len()).find(|number| fleet.settings(*number).instance.id == *instance)
 }
 
@@ -63,10 +63,10 @@
         }
         tokio::time::sleep(Duration::from_millis(25)).await;
     }
-    panic!("daemon {number} lists nothing");
+    panic!("daemon {number} did not list its objects within 10 s");
 }
 
-/// Waits until a daemon has a revision in force.
+/// Waits until a daemon has a revision in force and returns its list of models.
 async fn wait_revision(fleet: &Fleet, number: usize, revision: ObjectRevision) -> ObjectList {
     for _ in 0..600 {
         let list = objects(fleet, number).await;
@@ -75,25 +75,29 @@
         }
         tokio::time::sleep(Duration::from_millis(25)).await;
     }
-    panic!("daemon {number} never reached revision {revision}");
+    panic!("daemon {number} did not reach revision {revision}");
 }
 
-/// Accepts changes through one daemon for as long as the flag is set; returns what was accepted.
+/// Submits changes through one daemon while the flag is set. Returns the names of the accepted
+/// objects.
 fn change_load(
     fleet: &Fleet,
     through: usize,
     tag: &'static str,
-    run: &Arc<AtomicBool>,
+    keep_running: &Arc<AtomicBool>,
 ) -> tokio::task::JoinHandle<BTreeSet<String>> {
     let (operator, daemon) = (fleet.operator.clone(), fleet.operators(through));
-    let run = Arc::clone(run);
+    let keep_running = Arc::clone(keep_running);
     tokio::spawn(async move {
         let mut accepted = BTreeSet::new();
         let mut number = 0;
-        while run.load(Ordering::SeqCst) {
+        while keep_running.load(Ordering::SeqCst) {
             let name = format!("{tag}-{number}");
             let id = format!("change-{name}");
-            operator.put(daemon, &id, &name, 0, model(1)).await.expect("accepted in the end");
+            operator
+                .put(daemon, &id, &name, 0, model(1))
+                .await
+                .expect("the change is accepted after resends");
             accepted.insert(name);
             number += 1;
         }
@@ -105,32 +109,37 @@
     list.objects.iter().map(|object| object.name.clone()).collect()
 }
 
+// Guards against accepted changes that are lost, or resent changes that are applied twice, when the
+// leader crashes under load.
 #[tokio::test(flavor = "multi_thread")]
-async fn accepted_changes_survive_the_death_of_the_leader() {
-    let _one = ONE_FLEET.lock().await;
-    // Six daemons, three of them without a disk.
+async fn accepted_changes_survive_a_leader_crash() {
+    let _guard = FLEET_LOCK.lock().await;
+    // Six daemons, three of which have no disk.
     let plan =
         FleetPlan { daemons_per_data_centre: 2, engines: 0, services: 0, ..FleetPlan::default() };
     let mut fleet = Fleet::start(plan).await.expect("a fleet");
     let before = objects(&fleet, 5).await.config_revision;
-    let run = Arc::new(AtomicBool::new(true));
-    // Two operators, each through a daemon without a disk, that resend when answers get lost.
-    let loads = [change_load(&fleet, 3, "left", &run), change_load(&fleet, 4, "right", &run)];
+    let keep_running = Arc::new(AtomicBool::new(true));
+    // Two operators submit changes through daemons without a disk and resend after a lost response.
+    let loads = [
+        change_load(&fleet, 3, "left", &keep_running),
+        change_load(&fleet, 4, "right", &keep_running),
+    ];
     tokio::time::sleep(Duration::from_millis(500)).await;
     let leader = leader_of(&fleet, 5).await;
     fleet.kill(leader).await.expect("killed");
     tokio::time::sleep(Duration::from_secs(3)).await;
-    run.store(false, Ordering::SeqCst);
+    keep_running.store(false, Ordering::SeqCst);
     let mut accepted = BTreeSet::new();
     for load in loads {
-        accepted.extend(load.await.expect("no refusal"));
+        accepted.extend(load.await.expect("no change is refused"));
     }
     fleet.restart(leader).await.expect("restarted");
-    // Each accepted change counts once, whatever was resent.
+    // Each accepted change raises the revision once, however often the change was resent.
     let revision = ObjectRevision(before.0 + accepted.len() as u64);
     for number in 0..fleet.len() {
         let list = wait_revision(&fleet, number, revision).await;
-        assert_eq!(list.config_revision, revision, "a change was applied twice");
+        assert_eq!(list.config_revision, revision, "daemon {number}: a change was applied twice");
         assert!(accepted.is_subset(&names(&list)), "daemon {number} lost an accepted change");
     }
     let trail = fleet.operator.get(fleet.operators(0), "/v1/audit").await.expect("a trail");
@@ -138,9 +147,11 @@
     assert_eq!(trail.verify(), Ok(()));
 }
 
+// Guards against lost updates: of two operators that create the same object at the same time, one
+// must be refused with the revision that is present.
 #[tokio::test(flavor = "multi_thread")]
-async fn of_two_racing_operators_one_wins_and_the_other_is_told() {
-    let _one = ONE_FLEET.lock().await;
+async fn one_of_two_concurrent_writes_is_refused_with_a_conflict() {
+    let _guard = FLEET_LOCK.lock().await;
     let plan = FleetPlan { engines: 0, services: 0, ..FleetPlan::default() };
     let fleet = Fleet::start(plan).await.expect("a fleet");
     for round in 0..10 {
@@ -153,7 +164,7 @@
         let (left, right) = tokio::join!(put(0), put(1));
         let refusal = match (&left, &right) {
             (Ok(_), Err(refusal)) | (Err(refusal), Ok(_)) => refusal.to_string(),
-            other => panic!("one of two must win, not {other:?}"),
+            other => panic!("expected one accepted and one refused write, not {other:?}"),
         };
         assert!(
             refusal.contains("conflict") && refusal.contains("\"present_revision\":1"),
@@ -162,37 +173,40 @@
     }
 }
 
+// Guards against stale reads: a leader that loses its peers must stop serving once its
+// configuration may be outdated, and must catch up after the partition heals.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_isolated_leader_accepts_nothing_and_serves_no_old_configuration() {
-    let _one = ONE_FLEET.lock().await;
+async fn an_isolated_leader_refuses_requests_and_serves_no_stale_configuration() {
+    let _guard = FLEET_LOCK.lock().await;
     let fleet = Fleet::start(FleetPlan::default()).await.expect("a fleet");
     let old = leader_of(&fleet, 0).await;
     let other = (old + 1) % 3;
     fleet.daemon(old).peer_faults().set_isolated(true);
     let put = fleet.operator.put(fleet.operators(other), "cut-1", "after-the-cut", 0, model(1));
-    let accepted = put.await.expect("the others elect a leader");
-    // The isolated one still runs and can be reached, but neither serves nor shows what is not
-    // in force any more.
+    let accepted = put.await.expect("the other daemons elect a leader");
+    // The isolated daemon still runs and is reachable, but neither serves requests nor lists
+    // objects that are no longer in force.
     tokio::time::sleep(Duration::from_secs(5)).await;
     let refused = caller().complete(fleet.callers(old), &call(1, 4)).await;
     let Err(CallerError::Api(error)) = refused else { panic!("{refused:?}") };
     assert_eq!((error.code, error.ran), (ErrorCode::NotReady, RanState::No));
-    caller().complete(fleet.callers(other), &call(2, 4)).await.expect("the others serve");
+    caller().complete(fleet.callers(other), &call(2, 4)).await.expect("the other daemons serve");
     fleet.daemon(old).peer_faults().set_isolated(false);
     let list = wait_revision(&fleet, old, accepted.config_revision).await;
     assert!(names(&list).contains("after-the-cut"));
-    fleet.wait_until_live().await.expect("whole again");
-    caller().complete(fleet.callers(old), &call(3, 4)).await.expect("it serves again");
+    fleet.wait_until_live().await.expect("the fleet is live after the partition");
+    caller().complete(fleet.callers(old), &call(3, 4)).await.expect("the rejoined daemon serves");
 }
 
+// Guards against a daemon that answers from an old state while it catches up after a restart.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_daemon_that_missed_500_changes_comes_back_current() {
-    let _one = ONE_FLEET.lock().await;
+async fn a_restarted_daemon_that_missed_500_changes_serves_the_current_configuration() {
+    let _guard = FLEET_LOCK.lock().await;
     let plan =
         FleetPlan { daemons_per_data_centre: 2, engines: 0, services: 0, ..FleetPlan::default() };
     let mut fleet = Fleet::start(plan).await.expect("a fleet");
     let leader = leader_of(&fleet, 0).await;
-    // One with a disk and one without.
+    // The voter has a disk, the follower has none.
     let voter = (leader + 1) % 3;
     let follower = 5;
     fleet.kill(voter).await.expect("killed");
@@ -211,15 +225,17 @@
     }
     for number in [voter, follower] {
         fleet.restart(number).await.expect("restarted");
-        // The first state that it shows at all is the current one.
+        // The first list that the daemon returns is already the current one.
         let first = objects(&fleet, number).await;
-        assert!(first.config_revision >= revision, "an older state was shown");
+        assert!(first.config_revision >= revision, "daemon {number} listed an outdated state");
     }
 }
 
+// Guards against accepted changes that are lost when a second voter loses its disk right after the
+// first.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_disk_is_repaired_and_another_loss_right_after_is_borne() {
-    let _one = ONE_FLEET.lock().await;
+async fn accepted_changes_survive_two_disk_losses_in_quick_succession() {
+    let _guard = FLEET_LOCK.lock().await;
     let plan = FleetPlan {
         daemons_per_data_centre: 2,
         voters: 5,
@@ -236,7 +252,7 @@
     fleet.delete_data_folder(first).expect("lost");
     fleet.operator.put(daemon, "d-2", "two", 0, model(1)).await.expect("accepted");
     fleet.restart(first).await.expect("restarted");
-    // The second loss comes before anything has settled.
+    // The second disk is lost without waiting for the first voter to catch up.
     let second = (leader + 2) % 5;
     fleet.kill(second).await.expect("killed");
     fleet.delete_data_folder(second).expect("lost");
@@ -250,15 +266,17 @@
     }
 }
 
+// Guards against a voter change that is reported as done while the new voter does not yet count
+// towards the quorum.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_voter_moves_to_another_instance() {
-    let _one = ONE_FLEET.lock().await;
+async fn a_failed_voter_is_replaced_by_another_instance() {
+    let _guard = FLEET_LOCK.lock().await;
     let plan =
         FleetPlan { daemons_per_data_centre: 2, engines: 0, services: 0, ..FleetPlan::default() };
     let mut fleet = Fleet::start(plan).await.expect("a fleet");
     let before = fleet.operators(5);
     fleet.operator.put(before, "v-1", "one", 0, model(1)).await.expect("accepted");
-    // Voter 2 is gone for good; daemon 3, so far without a disk, takes its place.
+    // Voter 2 fails permanently. Daemon 3, which had no disk before, replaces it.
     fleet.kill(2).await.expect("killed");
     fleet.kill(3).await.expect("killed");
     let folder = tempfile::tempdir().expect("a folder");
@@ -284,7 +302,7 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     assert!(answer.contains("wanted"), "{answer}");
-    // Only if the new voter counts can one of the two old ones be missed.
+    // With voter 0 killed below, changes are accepted only if the new voter counts.
     let settled = |status: &oriolepass_schema::operator::StatusAnswer| {
         let voters: BTreeSet<&InstanceId> = status.voters.iter().collect();
         voters == wanted.iter().collect() && status.learners.is_empty()
@@ -307,9 +325,11 @@
     }
 }
 
+// Guards against an outage of prompts, which need no quorum, and against confirmations that run
+// although the caller is told that they did not.
 #[tokio::test(flavor = "multi_thread")]
-async fn without_a_quorum_prompts_go_on_and_confirmations_are_refused_as_not_run() {
-    let _one = ONE_FLEET.lock().await;
+async fn without_a_quorum_prompts_are_served_and_confirmations_are_refused_as_not_run() {
+    let _guard = FLEET_LOCK.lock().await;
     let plan = FleetPlan { engines: 6, services: 3, ..FleetPlan::default() };
     let mut fleet = Fleet::start(plan).await.expect("a fleet");
     let leader = leader_of(&fleet, 0).await;
@@ -317,18 +337,23 @@
     fleet.kill(leader).await.expect("killed");
     fleet.kill((leader + 1) % 3).await.expect("killed");
     tokio::time::sleep(Duration::from_secs(6)).await;
-    caller().complete(fleet.callers(left), &call(1, 4)).await.expect("prompts go on");
+    caller()
+        .complete(fleet.callers(left), &call(1, 4))
+        .await
+        .expect("prompts are served without a quorum");
     let refused =
         caller().call_service(fleet.callers(left), SERVICE, "confirm", Some("key-1")).await;
     let Err(CallerError::Api(error)) = refused else { panic!("{refused:?}") };
     assert_eq!((error.code, error.ran), (ErrorCode::NoQuorum, RanState::No));
     let runs: usize = fleet.services.iter().map(|service| service.runs_of("confirm")).sum();
-    assert_eq!(runs, 0, "`not run` must be true");
+    assert_eq!(runs, 0, "a confirmation refused as not run has run");
 }
 
+// Guards against a second run of a confirmation whose entry, the daemon that took the request,
+// crashes while the service runs it. Resends must get `StillRunning` or `OutcomeUnknown`.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_confirmation_survives_the_death_of_its_entry_and_runs_once() {
-    let _one = ONE_FLEET.lock().await;
+async fn a_confirmation_runs_once_when_its_entry_crashes() {
+    let _guard = FLEET_LOCK.lock().await;
     let mut fleet = Fleet::start(FleetPlan::default()).await.expect("a fleet");
     let leader = leader_of(&fleet, 0).await;
     fleet.services[0].set_delay(Duration::from_millis(600));
@@ -345,7 +370,7 @@
     }
     fleet.kill(entry).await.expect("killed");
     let _ = first.await;
-    // Through another daemon, then through the restarted one, in every phase.
+    // Resends go through another daemon for four seconds, then through the restarted entry.
     let other = fleet.callers(leader);
     for _ in 0..20 {
         let again = caller().call_service(other, SERVICE, "payout", Some("payout-9")).await;
@@ -366,25 +391,27 @@
     assert_eq!(fleet.services[0].runs_of("payout"), 1);
 }
 
+// Guards against failed prompts when a home, the daemon that schedules work on its endpoints,
+// crashes. Prompts enter through a daemon that is not a home.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_death_of_a_home_fails_no_request_of_the_others() {
-    let _one = ONE_FLEET.lock().await;
+async fn a_home_crash_fails_no_request_through_other_daemons() {
+    let _guard = FLEET_LOCK.lock().await;
     let plan = FleetPlan { daemons_per_data_centre: 2, engines: 6, ..FleetPlan::default() };
     let mut fleet = Fleet::start(plan).await.expect("a fleet");
     let homes = homes_of(&fleet).await;
     let victim = *homes.first().expect("a home");
-    let entry = (0..fleet.len()).find(|n| !homes.contains(n)).expect("one that is no home");
-    let run = Arc::new(AtomicBool::new(true));
+    let entry = (0..fleet.len()).find(|n| !homes.contains(n)).expect("a daemon that is not a home");
+    let keep_running = Arc::new(AtomicBool::new(true));
     let done = Arc::new(AtomicU64::new(0));
-    let load = prompt_load(&fleet, entry, &run, &done);
+    let load = prompt_load(&fleet, entry, &keep_running, &done);
     tokio::time::sleep(Duration::from_millis(500)).await;
     fleet.kill(victim).await.expect("killed");
     tokio::time::sleep(Duration::from_secs(6)).await;
-    run.store(false, Ordering::SeqCst);
+    keep_running.store(false, Ordering::SeqCst);
     let failures = load.await.expect("no panic");
     assert!(failures.is_empty(), "{failures:?}");
     assert!(done.load(Ordering::SeqCst) > 100);
-    fleet.wait_until_live().await.expect("the endpoints found their new home");
+    fleet.wait_until_live().await.expect("the endpoints are live at a new home");
 }
 
 async fn homes_of(fleet: &Fleet) -> Vec<usize> {
@@ -398,24 +425,23 @@
     homes
 }
 
-/// Sends prompts through one daemon, eight at a time, for as long as the flag is set; returns
-/// the failures.
+/// Sends prompts through one daemon, eight at a time, while the flag is set. Returns the failures.
 fn prompt_load(
     fleet: &Fleet,
     entry: usize,
-    run: &Arc<AtomicBool>,
+    keep_running: &Arc<AtomicBool>,
     done: &Arc<AtomicU64>,
 ) -> tokio::task::JoinHandle<Vec<CallerError>> {
     let address = fleet.callers(entry);
-    let (run, done) = (Arc::clone(run), Arc::clone(done));
+    let (keep_running, done) = (Arc::clone(keep_running), Arc::clone(done));
     tokio::spawn(async move {
         let mut tasks = tokio::task::JoinSet::new();
         for worker in 0..8_u64 {
-            let (run, done) = (Arc::clone(&run), Arc::clone(&done));
+            let (keep_running, done) = (Arc::clone(&keep_running), Arc::clone(&done));
             tasks.spawn(async move {
                 let mut failures = Vec::new();
                 let mut seed = worker * 100_000;
-                while run.load(Ordering::SeqCst) {
+                while keep_running.load(Ordering::SeqCst) {
                     seed += 1;
                     match caller().complete(address, &call(seed, 10)).await {
                         Ok(_) => {
@@ -431,23 +457,24 @@
     })
 }
 
-/// Callers as the brief has them: they ask for addresses, keep the answer for as long as it may
-/// be kept, and connect there.
-fn polite_load(
+/// Sends prompts as callers are required to: each worker requests addresses, keeps the list for
+/// 9/10 of its validity and connects to an address from it. Returns the number of answered prompts
+/// and the failures.
+fn address_refreshing_load(
     fleet: &Fleet,
-    run: &Arc<AtomicBool>,
+    keep_running: &Arc<AtomicBool>,
 ) -> tokio::task::JoinHandle<(u64, Vec<CallerError>)> {
     let daemons: Vec<_> = (0..fleet.len()).map(|number| fleet.callers(number)).collect();
-    let run = Arc::clone(run);
+    let keep_running = Arc::clone(keep_running);
     tokio::spawn(async move {
         let mut tasks = tokio::task::JoinSet::new();
         for worker in 0..6_usize {
-            let (run, daemons) = (Arc::clone(&run), daemons.clone());
+            let (keep_running, daemons) = (Arc::clone(&keep_running), daemons.clone());
             tasks.spawn(async move {
                 let (mut done, mut failures) = (0, Vec::new());
                 let caller = TestCaller::new(&account_key(worker % 2));
                 let mut seed = worker as u64 * 100_000;
-                while run.load(Ordering::SeqCst) {
+                while keep_running.load(Ordering::SeqCst) {
                     let mut list = None;
                     for daemon in daemons.iter().cycle().skip(worker).take(daemons.len()) {
                         list = caller.addresses(*daemon).await.ok();
@@ -456,9 +483,10 @@
                         }
                     }
                     let Some(list) = list else { continue };
-                    let until =
+                    let expiry =
                         std::time::Instant::now() + Duration::from_millis(list.keep_ms * 9 / 10);
-                    while std::time::Instant::now() < until && run.load(Ordering::SeqCst) {
+                    while std::time::Instant::now() < expiry && keep_running.load(Ordering::SeqCst)
+                    {
                         seed += 1;
                         let address = list.addresses[worker % list.addresses.len()].address;
                         match caller.complete(address, &call(seed, 40)).await {
@@ -478,21 +506,22 @@
     })
 }
 
+// Guards against requests that fail while each daemon in turn is drained and restarted.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_rolling_restart_under_load_fails_no_request() {
-    let _one = ONE_FLEET.lock().await;
+    let _guard = FLEET_LOCK.lock().await;
     let plan = FleetPlan { engines: 6, ..FleetPlan::default() };
     let mut fleet = Fleet::start(plan).await.expect("a fleet");
-    let run = Arc::new(AtomicBool::new(true));
-    let load = polite_load(&fleet, &run);
+    let keep_running = Arc::new(AtomicBool::new(true));
+    let load = address_refreshing_load(&fleet, &keep_running);
     for number in 0..fleet.len() {
-        let given_up = fleet.drain(number).await.expect("drained");
-        assert_eq!(given_up, 0, "a graceful shutdown cut off requests");
+        let aborted = fleet.drain(number).await.expect("drained");
+        assert_eq!(aborted, 0, "the drain of daemon {number} aborted requests");
         fleet.restart(number).await.expect("restarted");
-        fleet.wait_until_live().await.expect("served again");
+        fleet.wait_until_live().await.expect("all endpoints are live");
     }
-    run.store(false, Ordering::SeqCst);
+    keep_running.store(false, Ordering::SeqCst);
     let (done, failures) = load.await.expect("no panic");
-    assert!(failures.is_empty(), "{} of {done}: {failures:?}", failures.len());
+    assert!(failures.is_empty(), "{} failed, {done} answered: {failures:?}", failures.len());
     assert!(done > 100);
 }
