--- a/crates/testbed/tests/failures.rs
+++ b/crates/testbed/tests/failures.rs
@@ -179,23 +179,26 @@
 async fn an_isolated_leader_refuses_requests_and_serves_no_stale_configuration() {
     let _guard = FLEET_LOCK.lock().await;
     let fleet = Fleet::start(FleetPlan::default()).await.expect("a fleet");
-    let old = leader_of(&fleet, 0).await;
-    let other = (old + 1) % 3;
-    fleet.daemon(old).peer_faults().set_isolated(true);
+    let isolated = leader_of(&fleet, 0).await;
+    let other = (isolated + 1) % 3;
+    fleet.daemon(isolated).peer_faults().set_isolated(true);
     let put = fleet.operator.put(fleet.operators(other), "cut-1", "after-the-cut", 0, model(1));
     let accepted = put.await.expect("the other daemons elect a leader");
     // The isolated daemon still runs and is reachable, but neither serves requests nor lists
     // objects that are no longer in force.
     tokio::time::sleep(Duration::from_secs(5)).await;
-    let refused = caller().complete(fleet.callers(old), &call(1, 4)).await;
+    let refused = caller().complete(fleet.callers(isolated), &call(1, 4)).await;
     let Err(CallerError::Api(error)) = refused else { panic!("{refused:?}") };
     assert_eq!((error.code, error.ran), (ErrorCode::NotReady, RanState::No));
     caller().complete(fleet.callers(other), &call(2, 4)).await.expect("the other daemons serve");
-    fleet.daemon(old).peer_faults().set_isolated(false);
-    let list = wait_revision(&fleet, old, accepted.config_revision).await;
+    fleet.daemon(isolated).peer_faults().set_isolated(false);
+    let list = wait_revision(&fleet, isolated, accepted.config_revision).await;
     assert!(names(&list).contains("after-the-cut"));
     fleet.wait_until_live().await.expect("the fleet is live after the partition");
-    caller().complete(fleet.callers(old), &call(3, 4)).await.expect("the rejoined daemon serves");
+    caller()
+        .complete(fleet.callers(isolated), &call(3, 4))
+        .await
+        .expect("the rejoined daemon serves");
 }
 
 // Guards against a daemon that answers from an old state while it catches up after a restart.
@@ -333,16 +336,16 @@
     let plan = FleetPlan { engines: 6, services: 3, ..FleetPlan::default() };
     let mut fleet = Fleet::start(plan).await.expect("a fleet");
     let leader = leader_of(&fleet, 0).await;
-    let left = (leader + 2) % 3;
+    let survivor = (leader + 2) % 3;
     fleet.kill(leader).await.expect("killed");
     fleet.kill((leader + 1) % 3).await.expect("killed");
     tokio::time::sleep(Duration::from_secs(6)).await;
     caller()
-        .complete(fleet.callers(left), &call(1, 4))
+        .complete(fleet.callers(survivor), &call(1, 4))
         .await
         .expect("prompts are served without a quorum");
     let refused =
-        caller().call_service(fleet.callers(left), SERVICE, "confirm", Some("key-1")).await;
+        caller().call_service(fleet.callers(survivor), SERVICE, "confirm", Some("key-1")).await;
     let Err(CallerError::Api(error)) = refused else { panic!("{refused:?}") };
     assert_eq!((error.code, error.ran), (ErrorCode::NoQuorum, RanState::No));
     let runs: usize = fleet.services.iter().map(|service| service.runs_of("confirm")).sum();
@@ -373,8 +376,8 @@
     // Resends go through another daemon for four seconds, then through the restarted entry.
     let other = fleet.callers(leader);
     for _ in 0..20 {
-        let again = caller().call_service(other, SERVICE, "payout", Some("payout-9")).await;
-        let Err(CallerError::Api(error)) = again else { panic!("{again:?}") };
+        let resent = caller().call_service(other, SERVICE, "payout", Some("payout-9")).await;
+        let Err(CallerError::Api(error)) = resent else { panic!("{resent:?}") };
         assert!(matches!(error.code, ErrorCode::StillRunning | ErrorCode::OutcomeUnknown));
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
@@ -385,8 +388,8 @@
         }
         tokio::time::sleep(Duration::from_millis(25)).await;
     }
-    let again = caller().call_service(address, SERVICE, "payout", Some("payout-9")).await;
-    let Err(CallerError::Api(error)) = again else { panic!("{again:?}") };
+    let resent = caller().call_service(address, SERVICE, "payout", Some("payout-9")).await;
+    let Err(CallerError::Api(error)) = resent else { panic!("{resent:?}") };
     assert_eq!((error.code, error.ran), (ErrorCode::OutcomeUnknown, RanState::Unknown));
     assert_eq!(fleet.services[0].runs_of("payout"), 1);
 }
--- a/crates/testbed/tests/whole_path.rs
+++ b/crates/testbed/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! The whole path on real daemons: callers, endpoints that misbehave, plain services.
+//! End-to-end tests on real daemons: callers, faulty endpoints and plain services.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -12,8 +12,8 @@
 use oriolepass_units::TokenCount;
 use tokio::sync::Mutex;
 
-/// Fleets run one after the other: several at once would starve each other of processors.
-static ONE_FLEET: Mutex<()> = Mutex::const_new(());
+/// Serializes the tests. Concurrent fleets would starve each other of processor time.
+static FLEET_LOCK: Mutex<()> = Mutex::const_new(());
 
 fn call(seed: u64, tokens: usize, answer: u64) -> CompletionRequest {
     CompletionRequest {
@@ -33,7 +33,7 @@
     caller().complete(fleet.callers(0), call).await
 }
 
-/// Waits until nothing holds engine memory any more, in the ledger and on the engines.
+/// Waits until no engine memory is held, neither in the homes' ledgers nor on the engines.
 async fn wait_memory_free(fleet: &Fleet) {
     for _ in 0..400 {
         let mut held = 0;
@@ -47,34 +47,38 @@
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    panic!("memory stays held");
+    panic!("engine memory is still held after 20 s");
 }
 
 fn api_error(result: Result<CallerReply, CallerError>) -> oriolepass_schema::error::ApiError {
     match result {
         Err(CallerError::Api(error)) => error,
-        other => panic!("expected an error of the system, not {other:?}"),
+        other => panic!("expected an API error, not {other:?}"),
     }
 }
 
+// Guards against truncated answers and leaked engine memory, also for prompts that need several
+// engines.
 #[tokio::test(flavor = "multi_thread")]
-async fn prompts_of_all_lengths_are_answered_whole() {
-    let _one = ONE_FLEET.lock().await;
+async fn prompts_of_all_lengths_are_answered_in_full() {
+    let _guard = FLEET_LOCK.lock().await;
     let plan = FleetPlan { engines: 12, ..FleetPlan::default() };
     let fleet = Fleet::start(plan).await.expect("a fleet");
     for (seed, tokens) in [(1, 1), (2, 1_000), (3, 30_000), (4, 200_000)] {
-        let reply = complete(&fleet, &call(seed, tokens, 16)).await.expect("a whole answer");
+        let reply = complete(&fleet, &call(seed, tokens, 16)).await.expect("a complete answer");
         assert_eq!(reply.tokens, 16);
     }
-    // More than twice the memory of one engine: a group of three.
-    let huge = complete(&fleet, &call(5, 1_000_000, 8)).await.expect("a whole answer");
+    // The prompt needs more than twice the memory of one engine, hence a group of three engines.
+    let huge = complete(&fleet, &call(5, 1_000_000, 8)).await.expect("a complete answer");
     assert_eq!(huge.tokens, 8);
     wait_memory_free(&fleet).await;
 }
 
+// Guards against invalid requests that get a vague error, leak a key into the error or leave engine
+// memory held.
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_calls_get_clear_refusals_and_hold_nothing() {
-    let _one = ONE_FLEET.lock().await;
+async fn invalid_requests_are_refused_with_a_code_and_hold_no_memory() {
+    let _guard = FLEET_LOCK.lock().await;
     let fleet = Fleet::start(FleetPlan::default()).await.expect("a fleet");
     let address = fleet.callers(0);
     let post = |key: &'static str, body: String| async move {
@@ -103,7 +107,7 @@
         let body: serde_json::Value = serde_json::from_str(&answer.body).expect("JSON");
         assert_eq!(body["error"]["code"], code);
         assert_eq!(body["error"]["ran"], "no");
-        assert!(!answer.body.contains("wrong-key"), "a key stands in an error");
+        assert!(!answer.body.contains("wrong-key"), "an error contains the caller's key");
     }
     let missing = post(key, good.replace("oriole-large", "nobody") + "}").await;
     assert!(missing.body.contains("there is no model nobody"), "{}", missing.body);
@@ -113,9 +117,11 @@
     wait_memory_free(&fleet).await;
 }
 
+// Guards against a chat answer in the format of plain completions, and against a stream whose text
+// differs from the unstreamed answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn chats_are_answered_in_their_own_shape() {
-    let _one = ONE_FLEET.lock().await;
+async fn chat_completions_use_the_chat_response_format() {
+    let _guard = FLEET_LOCK.lock().await;
     let fleet = Fleet::start(FleetPlan::default()).await.expect("a fleet");
     let call = |stream: bool| {
         let message = serde_json::json!({"role": "user", "content": "olá"});
@@ -128,10 +134,12 @@
             call_json(address, "POST", path, Some(&key), body.to_string()).await.expect("an answer")
         }
     };
-    let whole: serde_json::Value = serde_json::from_str(&call(false).await.body).expect("JSON");
-    assert_eq!(whole["object"], "chat.completion");
-    let text = whole["choices"][0]["message"]["content"].as_str().expect("a message").to_owned();
-    assert_eq!(whole["choices"][0]["finish_reason"], "stop");
+    let unstreamed: serde_json::Value =
+        serde_json::from_str(&call(false).await.body).expect("JSON");
+    assert_eq!(unstreamed["object"], "chat.completion");
+    let text =
+        unstreamed["choices"][0]["message"]["content"].as_str().expect("a message").to_owned();
+    assert_eq!(unstreamed["choices"][0]["finish_reason"], "stop");
     let stream = call(true).await.body;
     let pieces: Vec<serde_json::Value> = stream
         .lines()
@@ -143,47 +151,52 @@
         .iter()
         .filter_map(|piece| piece["choices"][0]["delta"]["content"].as_str())
         .collect();
-    assert_eq!(joined, text, "the same prompt gets the same answer from the stand-in");
+    assert_eq!(joined, text, "the stand-in answers the same prompt alike, streamed or not");
     assert!(stream.trim_end().ends_with("data: [DONE]"));
 }
 
+// Guards against an engine fault that reaches the caller as a complete answer: foreign, duplicate
+// or missing pieces, broken streams and refusals.
 #[tokio::test(flavor = "multi_thread")]
-async fn damaged_answers_are_never_passed_off_as_whole() {
-    let _one = ONE_FLEET.lock().await;
+async fn corrupted_answers_are_never_reported_as_complete() {
+    let _guard = FLEET_LOCK.lock().await;
     let plan = FleetPlan { engines: 3, ..FleetPlan::default() };
     let fleet = Fleet::start(plan).await.expect("a fleet");
-    let strike_all =
+    let inject_in_all =
         |fault: fn(&oriolepass_standin::FaultPlan) -> &std::sync::atomic::AtomicU64| {
             fleet.engines.iter().for_each(|e| fault(e.faults()).store(1, Ordering::SeqCst));
         };
-    // Crossed and doubled pieces are dropped; the answer is still whole.
-    strike_all(|f| &f.cross);
-    strike_all(|f| &f.double);
+    // Pieces with the id of another attempt and duplicate pieces are dropped, and the answer is
+    // complete.
+    inject_in_all(|f| &f.cross);
+    inject_in_all(|f| &f.double);
     for seed in 10..16 {
-        complete(&fleet, &call(seed, 500, 20)).await.expect("a whole answer");
+        complete(&fleet, &call(seed, 500, 20)).await.expect("a complete answer");
     }
-    // A lost last piece shows at the end, and the request fails rather than pass it off.
-    strike_all(|f| &f.truncate);
+    // A missing last piece is detected at the end of the stream, and the request fails.
+    inject_in_all(|f| &f.truncate);
     let error = api_error(complete(&fleet, &call(20, 500, 20)).await);
     assert_eq!((error.code, error.ran), (ErrorCode::EndpointFailed, RanState::Yes));
     fleet.engines.iter().for_each(|e| e.faults().truncate.store(0, Ordering::SeqCst));
-    // A stream that breaks goes on, on another engine, at the exact token.
+    // A broken stream resumes on another engine at exactly the next token.
     fleet.engines[0].faults().break_off.store(1, Ordering::SeqCst);
     fleet.engines[1].faults().break_off.store(1, Ordering::SeqCst);
     fleet.engines[2].faults().break_off.store(1, Ordering::SeqCst);
     let reply = complete(&fleet, &call(21, 500, 20)).await.expect("resumed");
-    assert!(reply.attempts > 1, "the fault was never met");
-    // A refusal moves on to another engine.
+    assert!(reply.attempts > 1, "no attempt hit the injected fault");
+    // A refused request is retried on another engine.
     fleet.engines.iter().for_each(|e| e.faults().break_off.store(0, Ordering::SeqCst));
     fleet.engines[0].faults().refuse.store(1, Ordering::SeqCst);
     fleet.engines[1].faults().refuse.store(1, Ordering::SeqCst);
-    complete(&fleet, &call(22, 500, 20)).await.expect("a whole answer");
+    complete(&fleet, &call(22, 500, 20)).await.expect("a complete answer");
     wait_memory_free(&fleet).await;
 }
 
+// Guards against repeatable requests that fail, or engine memory that stays held, when an engine
+// crashes under load.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_killed_engine_fails_no_repeatable_request() {
-    let _one = ONE_FLEET.lock().await;
+    let _guard = FLEET_LOCK.lock().await;
     let plan = FleetPlan { engines: 6, ..FleetPlan::default() };
     let mut fleet = Fleet::start(plan).await.expect("a fleet");
     let mut tasks = tokio::task::JoinSet::new();
@@ -195,61 +208,66 @@
     let victim = fleet.engines.remove(0);
     victim.kill();
     while let Some(done) = tasks.join_next().await {
-        done.expect("no panic").expect("a whole answer");
+        done.expect("no panic").expect("a complete answer");
     }
     drop(victim);
     wait_memory_free(&fleet).await;
 }
 
+// Guards against an engine that keeps generating an answer for a caller that has disconnected.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_leaves_frees_its_engine() {
-    let _one = ONE_FLEET.lock().await;
+async fn a_caller_disconnect_frees_engine_memory() {
+    let _guard = FLEET_LOCK.lock().await;
     let fleet = Fleet::start(FleetPlan::default()).await.expect("a fleet");
     let (address, long) = (fleet.callers(0), call(200, 2_000, 30_000));
     let task = tokio::spawn(async move { caller().complete(address, &long).await });
-    let mut seen = TokenCount::ZERO;
+    let mut used = TokenCount::ZERO;
     for _ in 0..200 {
-        seen = fleet.engines.iter().map(oriolepass_standin::EngineServer::used).sum();
-        if seen > TokenCount::ZERO {
+        used = fleet.engines.iter().map(oriolepass_standin::EngineServer::used).sum();
+        if used > TokenCount::ZERO {
             break;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    assert!(seen > TokenCount::ZERO, "the request never reached an engine");
+    assert!(used > TokenCount::ZERO, "the request never reached an engine");
     task.abort();
     wait_memory_free(&fleet).await;
 }
 
+// Guards against a request that runs on, and holds engine memory, after its deadline.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_late_request_ends_at_its_deadline() {
-    let _one = ONE_FLEET.lock().await;
+async fn a_request_that_exceeds_its_deadline_fails_and_frees_engine_memory() {
+    let _guard = FLEET_LOCK.lock().await;
     let fleet = Fleet::start(FleetPlan::default()).await.expect("a fleet");
-    let mut late = call(210, 2_000, 30_000);
-    late.deadline = Duration::from_millis(400);
-    let error = api_error(complete(&fleet, &late).await);
+    let mut request = call(210, 2_000, 30_000);
+    request.deadline = Duration::from_millis(400);
+    let error = api_error(complete(&fleet, &request).await);
     assert_eq!(error.code, ErrorCode::DeadlineExceeded);
     assert_eq!(error.ran, RanState::Yes);
     wait_memory_free(&fleet).await;
 }
 
+// Guards against requests that are sent to an engine after it has announced that it leaves.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaving_engine_gets_nothing_new_and_ends_what_it_has() {
-    let _one = ONE_FLEET.lock().await;
+async fn a_leaving_engine_gets_no_new_requests() {
+    let _guard = FLEET_LOCK.lock().await;
     let plan = FleetPlan { engines: 3, ..FleetPlan::default() };
     let fleet = Fleet::start(plan).await.expect("a fleet");
-    let leaver = &fleet.engines[0];
-    leaver.leave().await;
+    let leaving_engine = &fleet.engines[0];
+    leaving_engine.leave().await;
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let before = leaver.run_counts().0;
+    let before = leaving_engine.run_counts().0;
     for seed in 300..330 {
-        complete(&fleet, &call(seed, 500, 4)).await.expect("a whole answer");
+        complete(&fleet, &call(seed, 500, 4)).await.expect("a complete answer");
     }
-    assert_eq!(leaver.run_counts().0, before, "the leaving engine got new work");
+    assert_eq!(leaving_engine.run_counts().0, before, "the leaving engine got new requests");
 }
 
+// Guards against a confirmation that runs twice when it is sent several times, at the same time or
+// later, through different daemons.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_confirmation_runs_once_however_often_it_is_sent() {
-    let _one = ONE_FLEET.lock().await;
+async fn a_confirmation_runs_once_despite_resends() {
+    let _guard = FLEET_LOCK.lock().await;
     let fleet = Fleet::start(FleetPlan::default()).await.expect("a fleet");
     let service = &fleet.services[0];
     service.set_delay(Duration::from_millis(100));
@@ -273,13 +291,13 @@
     }
     assert!(answered >= 1);
     assert_eq!(service.runs_of("confirm 7"), 1);
-    // Later resends, through every daemon, get the kept answer.
+    // Later resends through any daemon get the stored answer.
     for number in 0..3 {
         let address = fleet.callers(number);
-        let again = caller().call_service(address, SERVICE, "confirm 7", Some("confirm-7")).await;
-        assert_eq!(again.expect("kept").body, "done: confirm 7");
+        let resent = caller().call_service(address, SERVICE, "confirm 7", Some("confirm-7")).await;
+        assert_eq!(resent.expect("the stored answer").body, "done: confirm 7");
     }
-    // The same key for something else is refused.
+    // A different request with the same key is refused.
     let other =
         caller().call_service(fleet.callers(1), SERVICE, "confirm 8", Some("confirm-7")).await;
     let Err(CallerError::Api(error)) = other else { panic!("{other:?}") };
@@ -288,9 +306,10 @@
     assert_eq!(service.runs_of("confirm 8"), 0);
 }
 
+// Guards against a second run, or a false `not run`, when the answer of the service is lost.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_confirmation_whose_answer_is_lost_is_unknown_and_not_run_again() {
-    let _one = ONE_FLEET.lock().await;
+async fn a_confirmation_with_a_lost_answer_is_reported_unknown_and_not_rerun() {
+    let _guard = FLEET_LOCK.lock().await;
     let fleet = Fleet::start(FleetPlan::default()).await.expect("a fleet");
     let service = &fleet.services[0];
     service.faults().cross.store(1, Ordering::SeqCst);
@@ -300,12 +319,14 @@
     assert_eq!((error.code, error.ran), (ErrorCode::OutcomeUnknown, RanState::Unknown));
     for number in 0..3 {
         let address = fleet.callers(number);
-        let again = caller().call_service(address, SERVICE, "payout 1", Some("payout-1")).await;
-        let Err(CallerError::Api(error)) = again else { panic!("an answer from nowhere") };
+        let resent = caller().call_service(address, SERVICE, "payout 1", Some("payout-1")).await;
+        let Err(CallerError::Api(error)) = resent else {
+            panic!("expected an API error after the lost answer")
+        };
         assert!(matches!(error.code, ErrorCode::OutcomeUnknown | ErrorCode::StillRunning));
     }
     assert_eq!(service.runs_of("payout 1"), 1);
-    // A refusal by the service itself is "not run", and a new try may run.
+    // A refusal by the service is reported as not run, and a resend may run the request.
     service.faults().refuse.store(10, Ordering::SeqCst);
     let refused =
         caller().call_service(fleet.callers(0), SERVICE, "payout 2", Some("payout-2")).await;
@@ -315,34 +336,36 @@
     service.faults().refuse.store(0, Ordering::SeqCst);
     let mut answered = false;
     for _ in 0..100 {
-        let again =
+        let resent =
             caller().call_service(fleet.callers(1), SERVICE, "payout 2", Some("payout-2")).await;
-        answered = again.is_ok();
+        answered = resent.is_ok();
         if answered {
             break;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    assert!(answered, "a request that did not run may run later");
+    assert!(answered, "a resend after a refusal was not answered within 100 attempts");
     assert_eq!(service.runs_of("payout 2"), 1);
 }
 
+// Guards against a second run of a non-repeatable prompt that is resent through another daemon.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_non_repeatable_prompt_keeps_its_answer() {
-    let _one = ONE_FLEET.lock().await;
+async fn a_resent_non_repeatable_prompt_gets_the_stored_answer() {
+    let _guard = FLEET_LOCK.lock().await;
     let fleet = Fleet::start(FleetPlan::default()).await.expect("a fleet");
     let mut once = call(400, 1_000, 12);
     once.once = Some("summary-400".to_owned());
-    complete(&fleet, &once).await.expect("a whole answer");
-    let again = caller().complete(fleet.callers(2), &once).await.expect("the kept answer");
-    assert_eq!(again.attempts, 0, "a kept answer needs no attempt");
+    complete(&fleet, &once).await.expect("a complete answer");
+    let resent = caller().complete(fleet.callers(2), &once).await.expect("the stored answer");
+    assert_eq!(resent.attempts, 0, "the stored answer was not used");
     let runs: usize = fleet.engines.iter().map(|engine| engine.runs_of(&once.prompt)).sum();
     assert_eq!(runs, 1);
 }
 
+// Guards against answers that are mixed up or truncated among many concurrent streams.
 #[tokio::test(flavor = "multi_thread")]
-async fn two_thousand_short_streams_and_ten_long_ones_get_their_own_answers() {
-    let _one = ONE_FLEET.lock().await;
+async fn two_thousand_short_and_ten_long_streams_get_their_own_answers() {
+    let _guard = FLEET_LOCK.lock().await;
     let engine = EngineConfig { memory: TokenCount(4_000_000), ..EngineConfig::default() };
     let plan = FleetPlan { engines: 6, engine, ..FleetPlan::default() };
     let fleet = Fleet::start(plan).await.expect("a fleet");
@@ -353,14 +376,16 @@
         tasks.spawn(async move { caller().complete(address, &call).await });
     }
     while let Some(done) = tasks.join_next().await {
-        done.expect("no panic").expect("its own whole answer");
+        done.expect("no panic").expect("the complete answer to its own prompt");
     }
     wait_memory_free(&fleet).await;
 }
 
+// Guards against routes of the schema that no listener serves, and against routes that accept a
+// method other than their own.
 #[tokio::test(flavor = "multi_thread")]
-async fn every_call_of_the_schema_is_served() {
-    let _one = ONE_FLEET.lock().await;
+async fn every_route_of_the_schema_is_served() {
+    let _guard = FLEET_LOCK.lock().await;
     let fleet = Fleet::start(FleetPlan::default()).await.expect("a fleet");
     let settings = fleet.settings(0);
     for route in oriolepass_schema::routes::ROUTES {
@@ -380,11 +405,12 @@
     }
 }
 
+// Guards against a key that leaks into metrics, errors or operators' answers.
 #[tokio::test(flavor = "multi_thread")]
-async fn keys_stand_in_no_metric_error_or_answer() {
-    let _one = ONE_FLEET.lock().await;
+async fn keys_appear_in_no_metric_error_or_answer() {
+    let _guard = FLEET_LOCK.lock().await;
     let fleet = Fleet::start(FleetPlan::default()).await.expect("a fleet");
-    complete(&fleet, &call(900, 100, 2)).await.expect("a whole answer");
+    complete(&fleet, &call(900, 100, 2)).await.expect("a complete answer");
     let operators = fleet.operators(0);
     let mut pages = vec![get_text(operators, "/metrics").await.expect("a page").body];
     for path in ["/v1/objects", "/v1/status", "/v1/audit"] {
@@ -402,7 +428,7 @@
     ];
     for page in &pages {
         for key in &keys {
-            assert!(!page.contains(key.as_str()), "a key stands in a page: {page:.200}");
+            assert!(!page.contains(key.as_str()), "a response contains a key: {page:.200}");
         }
     }
 }
