--- a/crates/testbed/examples/capacity.rs
+++ b/crates/testbed/examples/capacity.rs
@@ -1,4 +1,5 @@
-//! Measures the slopes that `docs/CAPACITY.md` works with.
+//! Measures how time, memory and message sizes grow with the size of a deployment. The estimates in
+//! `docs/CAPACITY.md` are based on these figures.
 //!
 //! `cargo run --release -p oriolepass-testbed --example capacity`
 
@@ -26,13 +27,13 @@
 };
 
 fn main() -> Result<()> {
-    endpoints()?;
-    accounts()?;
-    objects()?;
-    claims()?;
-    log_length()?;
+    measure_endpoints()?;
+    measure_accounts()?;
+    measure_objects()?;
+    measure_claims()?;
+    measure_log_length()?;
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
-    runtime.block_on(followers())
+    runtime.block_on(measure_followers())
 }
 
 fn resident() -> Result<u64> {
@@ -63,7 +64,7 @@
     Ok(home)
 }
 
-fn ask(number: u64, account: u64, prompt: u64) -> Result<GrantRequest> {
+fn grant_request(number: u64, account: u64, prompt: u64) -> Result<GrantRequest> {
     Ok(GrantRequest {
         attempt: format!("a-{number}").parse()?,
         entry: "entry".parse()?,
@@ -78,18 +79,19 @@
     })
 }
 
-/// Asks and releases with 10,000 prompts waiting; returns the time of one ask with its release.
-fn decision_time(endpoints: u64) -> Result<Duration> {
-    const WAITING: u64 = 10_000;
+/// Requests and releases grants with 10,000 prompts waiting. Returns the mean time of one request
+/// and one release.
+fn grant_cycle_time(endpoints: u64) -> Result<Duration> {
+    const WAITING_PROMPTS: u64 = 10_000;
     const ROUNDS: u64 = 20_000;
     let mut home = home_with(endpoints)?;
     let now = MonotonicTime(1_000);
     let mut granted = Vec::new();
     let mut number = 0;
-    // Fill the engines, then the queue.
-    while home.waiting_count() < WAITING as usize {
+    // The first requests fill the engines, the later requests fill the queue.
+    while home.waiting_count() < WAITING_PROMPTS as usize {
         number += 1;
-        home.request_grant(now, ask(number, number % 10, 3_000 + number % 900)?);
+        home.request_grant(now, grant_request(number, number % 10, 3_000 + number % 900)?);
         for command in home.take_commands() {
             if let HomeCommand::Grant(grant) = command {
                 granted.push(grant.attempt);
@@ -99,9 +101,9 @@
     let started = Instant::now();
     for round in 0..ROUNDS {
         number += 1;
-        home.request_grant(now, ask(number, number % 10, 3_000 + round % 900)?);
-        let leaver = granted.swap_remove(round as usize % granted.len());
-        home.release(now, &leaver, ReleaseReason::Ended { tokens: TokenCount(200) });
+        home.request_grant(now, grant_request(number, number % 10, 3_000 + round % 900)?);
+        let released = granted.swap_remove(round as usize % granted.len());
+        home.release(now, &released, ReleaseReason::Ended { tokens: TokenCount(200) });
         for command in home.take_commands() {
             if let HomeCommand::Grant(grant) = command {
                 granted.push(grant.attempt);
@@ -111,9 +113,9 @@
     Ok(started.elapsed() / ROUNDS as u32)
 }
 
-fn endpoints() -> Result<()> {
+fn measure_endpoints() -> Result<()> {
     println!(
-        "| endpoints of a home | ask, release and grant with 10,000 waiting | digest | memory |"
+        "| endpoints of a home | request, release and grant with 10,000 waiting | digest | memory |"
     );
     println!("|---|---|---|---|");
     for count in [10, 14, 33, 100, 500, 1_000] {
@@ -122,7 +124,7 @@
         let memory = resident()?.saturating_sub(before);
         let digest = home.digest(&"home".parse()?, &"dc".parse()?);
         let bytes = serde_json::to_vec(&digest)?.len();
-        let time = decision_time(count)?;
+        let time = grant_cycle_time(count)?;
         println!(
             "| {count} | {:.1} us | {bytes} B | {:.0} kB |",
             time.as_secs_f64() * 1e6,
@@ -133,8 +135,8 @@
     Ok(())
 }
 
-fn accounts() -> Result<()> {
-    println!("| accounts with something waiting | ask and withdraw | memory |");
+fn measure_accounts() -> Result<()> {
+    println!("| accounts with waiting requests | request and withdraw | memory |");
     println!("|---|---|---|");
     for count in [10_u64, 100, 1_000, 7_200] {
         let before = resident()?;
@@ -143,7 +145,7 @@
         let mut number = 0;
         while home.waiting_count() < 10_000 {
             number += 1;
-            home.request_grant(now, ask(number, number % count, 3_500)?);
+            home.request_grant(now, grant_request(number, number % count, 3_500)?);
             let _ = home.take_commands();
         }
         let memory = resident()?.saturating_sub(before);
@@ -151,9 +153,9 @@
         const ROUNDS: u64 = 20_000;
         for _ in 0..ROUNDS {
             number += 1;
-            let next = ask(number, number % count, 3_500)?;
-            let attempt = next.attempt.clone();
-            home.request_grant(now, next);
+            let request = grant_request(number, number % count, 3_500)?;
+            let attempt = request.attempt.clone();
+            home.request_grant(now, request);
             home.release(now, &attempt, ReleaseReason::NeverSent);
             let _ = home.take_commands();
         }
@@ -192,10 +194,10 @@
     Ok(ReplicatedCommand::Change(ChangeCommand { team: "root".parse()?, call }))
 }
 
-fn objects() -> Result<()> {
+fn measure_objects() -> Result<()> {
     println!(
-        "| configuration objects | apply a change | voter's state as a snapshot | follower's view \
-         | memory of a voter's state | a change on the wire |"
+        "| configuration objects | apply a change | snapshot of a voter's state | follower's view \
+         | memory of a voter's state | encoded change |"
     );
     println!("|---|---|---|---|---|---|");
     for count in [100_u64, 1_000, 10_000, 30_000] {
@@ -212,7 +214,7 @@
         let apply = started.elapsed() / u32::try_from(count)?;
         let memory = resident()?.saturating_sub(before);
         let list = state.view().list(None);
-        let last = list.objects.last().expect("there are objects");
+        let last = list.objects.last().expect("at least one object");
         let object = state.view().object(last.kind, &last.name).cloned();
         let delta = ViewDelta {
             index,
@@ -232,8 +234,8 @@
     Ok(())
 }
 
-fn claims() -> Result<()> {
-    println!("| claims kept | claim and settle | voter's state as a snapshot | memory |");
+fn measure_claims() -> Result<()> {
+    println!("| stored claims | claim and settle | snapshot of a voter's state | memory |");
     println!("|---|---|---|---|");
     for count in [10_000_u64, 100_000] {
         let before = resident()?;
@@ -290,7 +292,7 @@
     Ok(())
 }
 
-fn log_length() -> Result<()> {
+fn measure_log_length() -> Result<()> {
     println!("| entries in the log | recovery | size on disk | append and sync of one entry |");
     println!("|---|---|---|---|");
     for count in [1_000_u64, 10_000, 100_000] {
@@ -332,8 +334,9 @@
     Ok(())
 }
 
-/// Daemons without engines: what a change and an idle second cost, by their number.
-async fn followers() -> Result<()> {
+/// Measures the latency of a change and the processor time and memory of an idle daemon, by number
+/// of daemons. The deployments have no engines.
+async fn measure_followers() -> Result<()> {
     println!(
         "| daemons (3 vote) | accepted p50 | p99 | in force everywhere p50 | p99 | idle, per \
          daemon | memory per daemon |"
--- a/crates/testbed/examples/demo.rs
+++ b/crates/testbed/examples/demo.rs
@@ -1,5 +1,5 @@
-//! The main job in one process: daemons in three data centres, stand-in engines and a plain
-//! service, prompts from a thousand to over 200 thousand tokens.
+//! Demonstrates a deployment in one process: daemons in three data centres, stand-in engines and a
+//! plain service serve prompts of 1,000 to 220,000 tokens.
 //!
 //! `cargo run --release -p oriolepass-testbed --example demo`
 
@@ -11,8 +11,8 @@
     Fleet, FleetPlan, LatencyTable, MODEL, SERVICE, account_key, text_prompt,
 };
 
-/// Prompts of each class: name, tokens, how many, tokens of answer.
-const MIX: [(&str, usize, u64, u64); 4] = [
+/// Prompts by length class: name of the class, prompt tokens, number of prompts, answer tokens.
+const PROMPT_CLASSES: [(&str, usize, u64, u64); 4] = [
     ("1: short, 1 k", 1_000, 60, 32),
     ("2: medium, 16 k", 16_000, 12, 32),
     ("3: long, 100 k", 100_000, 4, 32),
@@ -25,14 +25,14 @@
 }
 
 async fn run() -> Result<()> {
-    println!("starting 6 daemons in 3 data centres, 6 engines and a plain service ...");
+    println!("starting 6 daemons in 3 data centres, 6 engines and 1 plain service ...");
     let plan =
         FleetPlan { daemons_per_data_centre: 2, engines: 6, accounts: 4, ..FleetPlan::default() };
     let fleet = Fleet::start(plan).await?;
     let started = Instant::now();
     let mut tasks = tokio::task::JoinSet::new();
     let mut seed = 0;
-    for (class, tokens, count, answer) in MIX {
+    for (class, tokens, count, answer) in PROMPT_CLASSES {
         for number in 0..count {
             seed += 1;
             let caller = TestCaller::new(&account_key(seed as usize % 4));
@@ -47,7 +47,7 @@
             let delay = Duration::from_millis(number * 3_000 / count);
             tasks.spawn(async move {
                 tokio::time::sleep(delay).await;
-                // Callers ask which address to use, and connect there.
+                // Callers request the addresses of the daemons and connect to the first address.
                 let addresses = caller.addresses(daemon).await;
                 let address = addresses.ok().map_or(daemon, |list| list.addresses[0].address);
                 (class, caller.complete(address, &call).await)
@@ -68,22 +68,25 @@
     println!("\ntime to first token\n{table}");
     let caller = TestCaller::new(&account_key(0));
     let body = "confirm member 17";
-    let first = caller.call_service(fleet.callers(0), SERVICE, body, Some("demo-1")).await;
-    let again = caller.call_service(fleet.callers(1), SERVICE, body, Some("demo-1")).await;
+    let sent = caller.call_service(fleet.callers(0), SERVICE, body, Some("demo-1")).await;
+    let resent = caller.call_service(fleet.callers(1), SERVICE, body, Some("demo-1")).await;
     let runs: usize = fleet.services.iter().map(|service| service.runs_of(body)).sum();
     println!(
-        "a confirmation sent twice, through two daemons: {} and {}, run {runs} time(s)",
-        first.as_ref().map_or("failed", |_| "answered"),
-        again.as_ref().map_or("failed", |_| "answered"),
+        "a confirmation sent through two daemons: {} and {}; executed {runs} time(s)",
+        sent.as_ref().map_or("failed", |_| "answered"),
+        resent.as_ref().map_or("failed", |_| "answered"),
     );
-    let total: u64 = MIX.iter().map(|(_, _, count, _)| count).sum();
+    let total: u64 = PROMPT_CLASSES.iter().map(|(_, _, count, _)| count).sum();
     println!(
-        "{} of {total} prompts answered whole (token count and digest checked) in {:.1} s",
+        "{} of {total} prompts answered completely (token count and digest checked) in {:.1} s",
         total - failed,
         started.elapsed().as_secs_f64()
     );
     if failed > 0 || runs != 1 {
-        bail!("not everything was answered");
+        bail!(
+            "{failed} prompts failed and the confirmation was executed {runs} time(s); \
+             expected 0 and 1"
+        );
     }
     Ok(())
 }
--- a/crates/testbed/examples/mutations.rs
+++ b/crates/testbed/examples/mutations.rs
@@ -1,7 +1,8 @@
-//! Breaks each defence in a scratch copy and shows which test catches it.
+//! Runs mutation tests: disables each defence of the code in a scratch copy and reports whether the
+//! named test fails.
 //!
-//! `tests/mutations.json` lists the defences. Nothing of this is in the product: the copy is
-//! changed as text, built and tested on its own.
+//! `tests/mutations.json` lists the mutations as text replacements. Only the scratch copy is
+//! changed, built and tested, so no mutation reaches the product.
 //!
 //! `cargo run -p oriolepass-testbed --example mutations`
 
@@ -11,8 +12,9 @@
 use eyre::{Result, WrapErr, bail, ensure};
 use serde_json::Value;
 
-/// Seeds of the randomised runs: some defences are needed only by rare coincidences.
-const SEEDS: &str = "3000";
+/// Number of seeds of the randomised tests. Some mutations cause a failure only under
+/// rare interleavings.
+const SEED_COUNT: &str = "3000";
 
 fn main() -> Result<()> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").canonicalize()?;
@@ -21,32 +23,32 @@
     let scratch = tempfile::tempdir()?;
     copy_tracked(&root, scratch.path())?;
     let target = root.join("target/mutations");
-    let mut missed = Vec::new();
-    println!("| defence broken | caught by | first words |\n|---|---|---|");
+    let mut undetected = Vec::new();
+    println!("| disabled defence | failing test | failure message |\n|---|---|---|");
     for mutation in &list {
         let text = |key: &str| mutation[key].as_str().unwrap_or_default();
         let file = scratch.path().join(text("file"));
-        let original = std::fs::read_to_string(&file).wrap_err("the mutated file")?;
+        let original = std::fs::read_to_string(&file).wrap_err("cannot read the file to mutate")?;
         ensure!(
             original.matches(text("before")).count() == 1,
-            "{}: the text to change does not stand once in {}",
+            "{}: the text to replace must occur exactly once in {}",
             text("defence"),
             text("file")
         );
         std::fs::write(&file, original.replace(text("before"), text("after")))?;
-        let caught = run_test(scratch.path(), &target, text("package"), text("test"))?;
+        let failure = run_test(scratch.path(), &target, text("package"), text("test"))?;
         std::fs::write(&file, original)?;
         let test = format!("{}/{}", text("package"), text("test"));
-        match caught {
-            Some(words) => println!("| {} | {test} | {words} |", text("defence")),
+        match failure {
+            Some(message) => println!("| {} | {test} | {message} |", text("defence")),
             None => {
-                println!("| {} | **nothing** | |", text("defence"));
-                missed.push(text("defence"));
+                println!("| {} | **not detected** | |", text("defence"));
+                undetected.push(text("defence"));
             }
         }
     }
-    if !missed.is_empty() {
-        bail!("not caught: {}", missed.join("; "));
+    if !undetected.is_empty() {
+        bail!("mutations not detected: {}", undetected.join("; "));
     }
     Ok(())
 }
@@ -61,13 +63,13 @@
     Ok(())
 }
 
-/// Runs one test; returns the first words of its failure, or none where it passed.
+/// Runs one test. Returns the start of its failure message, or `None` when the test passes.
 fn run_test(folder: &Path, target: &Path, package: &str, test: &str) -> Result<Option<String>> {
     let output = Command::new("cargo")
         .args(["test", "--release", "-p", package, "--test", test])
         .env("CARGO_TARGET_DIR", target)
         .env("RUST_BACKTRACE", "0")
-        .env("ORIOLEPASS_SEEDS", SEEDS)
+        .env("ORIOLEPASS_SEEDS", SEED_COUNT)
         .current_dir(folder)
         .output()?;
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
@@ -76,10 +78,10 @@
     }
     ensure!(
         text.contains("test result: FAILED"),
-        "the changed copy does not build: {}",
+        "the mutated copy does not build: {}",
         String::from_utf8_lossy(&output.stderr)
     );
     let mut lines = text.lines().skip_while(|line| !line.contains("panicked at"));
-    let words = lines.nth(1).unwrap_or("failed");
-    Ok(Some(words.chars().take(90).collect::<String>().replace('|', "/")))
+    let message = lines.nth(1).unwrap_or("failed");
+    Ok(Some(message.chars().take(90).collect::<String>().replace('|', "/")))
 }
--- a/crates/testbed/examples/path_bench.rs
+++ b/crates/testbed/examples/path_bench.rs
@@ -1,5 +1,6 @@
-//! What the daemon adds: latency per request and per token, processor time per 1,000 requests
-//! and memory per open stream, beside a caller that talks to the stand-in engine directly.
+//! Measures the overhead of a daemon: latency per request and per token, processor time per 1,000
+//! requests and memory per open stream. The baseline is a caller that connects to the stand-in
+//! engine directly.
 //!
 //! `cargo build --release -p oriolepass-daemon &&
 //! cargo run --release -p oriolepass-testbed --example path_bench`
@@ -17,8 +18,10 @@
 };
 use oriolepass_units::{Incarnation, TokenCount, TokenRate};
 
-const SEQUENTIAL: u64 = 2_000;
-const STREAMS: u64 = 2_000;
+/// Number of requests that are sent one at a time.
+const SEQUENTIAL_REQUESTS: u64 = 2_000;
+/// Number of concurrently open streams.
+const OPEN_STREAMS: u64 = 2_000;
 
 fn main() -> Result<()> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
@@ -37,20 +40,22 @@
 
 async fn configure(daemon: &DaemonProcess) -> Result<()> {
     let operator = OperatorClient::new(ROOT_KEY);
-    let at = daemon.operators;
+    let operators_address = daemon.operators;
     let pool = PoolSpec { keys: vec![KeyHash::of(POOL_KEY)], role: PoolRole::General };
-    operator.put(at, "pool", "engines", 0, ObjectSpec::Pool(pool)).await?;
+    operator.put(operators_address, "pool", "engines", 0, ObjectSpec::Pool(pool)).await?;
     let model = ModelSpec {
         version: "1".into(),
         adapters: Vec::new(),
         replicas: Default::default(),
         max_prompt: TokenCount(1_100_000),
     };
-    operator.put(at, "model", MODEL, 0, ObjectSpec::Model(model)).await?;
+    operator.put(operators_address, "model", MODEL, 0, ObjectSpec::Model(model)).await?;
     let account =
         AccountSpec { keys: vec![KeyHash::of(&account_key(0))], share: 1, max_held: None };
-    let last = operator.put(at, "account", "account-0", 0, ObjectSpec::Account(account)).await?;
-    operator.wait_in_force(at, last.config_revision).await
+    let last_change = operator
+        .put(operators_address, "account", "account-0", 0, ObjectSpec::Account(account))
+        .await?;
+    operator.wait_in_force(operators_address, last_change.config_revision).await
 }
 
 async fn start_engine(daemon: &DaemonProcess, config: EngineConfig) -> Result<EngineServer> {
@@ -69,7 +74,7 @@
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    bail!("the engine is not served")
+    bail!("the daemon did not serve a prompt on the engine within 200 attempts")
 }
 
 async fn run() -> Result<()> {
@@ -83,32 +88,33 @@
         step_tokens: 1_000_000,
         ..EngineConfig::default()
     };
-    idle(&daemon).await?;
+    measure_idle(&daemon).await?;
     let engine = start_engine(&daemon, fast).await?;
-    sequential(&daemon, &engine).await?;
-    tokens(&daemon, &engine).await?;
+    measure_sequential_requests(&daemon, &engine).await?;
+    measure_token_rate(&daemon, &engine).await?;
     drop(engine);
     tokio::time::sleep(Duration::from_secs(6)).await;
-    open_streams(&daemon).await
+    measure_open_streams(&daemon).await
 }
 
-/// What the daemon costs when nothing happens.
-async fn idle(daemon: &DaemonProcess) -> Result<()> {
-    const SPAN: Duration = Duration::from_secs(5);
+/// Measures the processor time of an idle daemon.
+async fn measure_idle(daemon: &DaemonProcess) -> Result<()> {
+    const INTERVAL: Duration = Duration::from_secs(5);
     let before = daemon.usage()?.cpu;
-    tokio::time::sleep(SPAN).await;
+    tokio::time::sleep(INTERVAL).await;
     let cpu = daemon.usage()?.cpu - before;
-    let percent = cpu.as_secs_f64() / SPAN.as_secs_f64() * 100.0;
+    let percent = cpu.as_secs_f64() / INTERVAL.as_secs_f64() * 100.0;
     println!("idle: {percent:.1} % of a core\n");
     Ok(())
 }
 
-/// One request after the other, through the daemon and past it in turn.
-async fn sequential(daemon: &DaemonProcess, engine: &EngineServer) -> Result<()> {
+/// Measures the latency of sequential requests, alternately to the engine directly and through the
+/// daemon.
+async fn measure_sequential_requests(daemon: &DaemonProcess, engine: &EngineServer) -> Result<()> {
     let caller = TestCaller::new(&account_key(0));
     let mut table = LatencyTable::default();
     let before = daemon.usage()?.cpu;
-    for number in 0..SEQUENTIAL {
+    for number in 0..SEQUENTIAL_REQUESTS {
         let call = call(number + 1, 250, 4);
         let attempt = format!("direct-{number}").parse()?;
         let reply = caller.complete_direct(engine.address(), attempt, &call).await;
@@ -118,33 +124,35 @@
         table.record("through the daemon", reply.map_err(|e| eyre::eyre!("{e:?}"))?.first_token);
     }
     let cpu = daemon.usage()?.cpu - before;
-    println!("time to first token, {SEQUENTIAL} requests of 250 tokens, one at a time\n{table}");
+    println!(
+        "time to first token, {SEQUENTIAL_REQUESTS} requests of 250 tokens, one at a time\n{table}"
+    );
     let median = |row| table.quantile_ms(row, 0.5).unwrap_or_default();
     println!(
         "added median time to first token {:.3} ms; daemon processor time {:.1} ms per 1,000 \
          requests of 4 tokens\n",
         median("through the daemon") - median("direct"),
-        cpu.as_secs_f64() * 1e6 / SEQUENTIAL as f64,
+        cpu.as_secs_f64() * 1e6 / SEQUENTIAL_REQUESTS as f64,
     );
     Ok(())
 }
 
-/// Long answers, for the cost of one token.
-async fn tokens(daemon: &DaemonProcess, engine: &EngineServer) -> Result<()> {
-    const ANSWER: u64 = 2_000;
-    const PARALLEL: u64 = 32;
+/// Measures the token rate and the processor time per token on long answers.
+async fn measure_token_rate(daemon: &DaemonProcess, engine: &EngineServer) -> Result<()> {
+    const ANSWER_TOKENS: u64 = 2_000;
+    const STREAMS: u64 = 32;
     let mut rates = Vec::new();
     let mut cpu = Duration::ZERO;
-    for through in [false, true] {
+    for is_through_daemon in [false, true] {
         let before = daemon.usage()?.cpu;
         let started = Instant::now();
         let mut tasks = tokio::task::JoinSet::new();
-        for number in 0..PARALLEL {
+        for number in 0..STREAMS {
             let (address, direct) = (daemon.callers, engine.address());
             tasks.spawn(async move {
                 let caller = TestCaller::new(&account_key(0));
-                let call = call(100_000 + number, 250, ANSWER);
-                if through {
+                let call = call(100_000 + number, 250, ANSWER_TOKENS);
+                if is_through_daemon {
                     caller.complete(address, &call).await
                 } else {
                     let attempt = format!("tokens-{number}").parse().expect("a valid id");
@@ -155,21 +163,21 @@
         while let Some(done) = tasks.join_next().await {
             done?.map_err(|e| eyre::eyre!("{e:?}"))?;
         }
-        rates.push((PARALLEL * ANSWER) as f64 / started.elapsed().as_secs_f64());
+        rates.push((STREAMS * ANSWER_TOKENS) as f64 / started.elapsed().as_secs_f64());
         cpu = daemon.usage()?.cpu - before;
     }
     println!(
-        "{PARALLEL} streams of {ANSWER} tokens: {:.0} tokens/s direct, {:.0} through the daemon; \
-         daemon processor time {:.2} us per token\n",
+        "{STREAMS} streams of {ANSWER_TOKENS} tokens: {:.0} tokens/s direct, {:.0} through the \
+         daemon; daemon processor time {:.2} us per token\n",
         rates[0],
         rates[1],
-        cpu.as_secs_f64() * 1e6 / (PARALLEL * ANSWER) as f64
+        cpu.as_secs_f64() * 1e6 / (STREAMS * ANSWER_TOKENS) as f64
     );
     Ok(())
 }
 
-/// Many streams open at a time, for the memory of one.
-async fn open_streams(daemon: &DaemonProcess) -> Result<()> {
+/// Measures the memory per stream with many open streams.
+async fn measure_open_streams(daemon: &DaemonProcess) -> Result<()> {
     let slow = EngineConfig {
         memory: TokenCount(40_000_000),
         prefill_rate: TokenRate(100_000_000),
@@ -181,7 +189,7 @@
     let engine = start_engine(daemon, slow).await?;
     let before = daemon.usage()?;
     let mut tasks = tokio::task::JoinSet::new();
-    for number in 0..STREAMS {
+    for number in 0..OPEN_STREAMS {
         let address = daemon.callers;
         tasks.spawn(async move {
             let caller = TestCaller::new(&account_key(0));
@@ -203,11 +211,11 @@
     }
     let grown = peak.resident - before.resident.min(peak.resident);
     println!(
-        "{done} of {STREAMS} streams open at a time, all whole: resident {:.1} MB before, {:.1} MB \
-         at the peak, {:.1} kB a stream; {} descriptors at the peak",
+        "{done} of {OPEN_STREAMS} concurrent streams completed: resident {:.1} MB before, {:.1} MB \
+         at the peak, {:.1} kB per stream; {} descriptors at the peak",
         before.resident as f64 / 1e6,
         peak.resident as f64 / 1e6,
-        grown as f64 / 1e3 / STREAMS as f64,
+        grown as f64 / 1e3 / OPEN_STREAMS as f64,
         peak.descriptors
     );
     drop(engine);
--- a/crates/testbed/examples/soak.rs
+++ b/crates/testbed/examples/soak.rs
@@ -1,7 +1,7 @@
-//! Runs nine daemons, fourteen engines and three plain services under mixed load and random
-//! deaths, and prints a verdict.
+//! Runs nine daemons, fourteen engines and three plain services under mixed load, first without and
+//! then with crashes, and prints whether any guarantee was violated.
 //!
-//! `cargo run --release -p oriolepass-testbed --example soak -- CALM_SECONDS STORM_SECONDS`
+//! `cargo run --release -p oriolepass-testbed --example soak -- BASELINE_SECONDS CRASH_SECONDS`
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,38 +22,39 @@
 const CONFIRM_WORKERS: usize = 6;
 const ACCOUNTS: usize = 10;
 
-/// Between two deaths.
-const DEATH_EVERY: Duration = Duration::from_secs(5);
+/// Delay after each round. A round submits a change, and in the second phase injects a crash first.
+const ROUND_DELAY: Duration = Duration::from_secs(5);
 
-/// What the callers met.
+/// Counts of the outcomes that callers observed.
 #[derive(Default)]
-struct Tally {
-    whole: AtomicU64,
+struct CallerOutcomes {
+    completed: AtomicU64,
     refused: AtomicU64,
     failed: AtomicU64,
-    broken: AtomicU64,
-    wrong: AtomicU64,
+    connection_lost: AtomicU64,
+    incorrect: AtomicU64,
     tokens: AtomicU64,
     confirmed: AtomicU64,
     confirmed_unknown: AtomicU64,
     confirmed_not_run: AtomicU64,
     first_token: Mutex<LatencyTable>,
-    /// The bodies of confirmations that the system said had not run, by key.
+    /// Bodies of the confirmations that were reported as not run, by caller key.
     not_run: Mutex<BTreeMap<String, String>>,
+    /// Number of errors by reason.
     reasons: Mutex<BTreeMap<String, u64>>,
 }
 
-impl Tally {
-    fn note(&self, error: &CallerError) {
+impl CallerOutcomes {
+    fn record_error(&self, error: &CallerError) {
         let (counter, reason) = match error {
             CallerError::Api(error) if error.ran == RanState::No => {
                 (&self.refused, format!("not run: {}", error.code))
             }
             CallerError::Api(error) => (&self.failed, format!("{}: {}", error.ran, error.code)),
             CallerError::Connection(_) | CallerError::Truncated => {
-                (&self.broken, "the daemon died under the connection".to_owned())
+                (&self.connection_lost, "the connection to the daemon was lost".to_owned())
             }
-            CallerError::Wrong(what) => (&self.wrong, format!("WRONG: {what:.40}")),
+            CallerError::Wrong(detail) => (&self.incorrect, format!("INCORRECT: {detail:.40}")),
         };
         counter.fetch_add(1, Ordering::SeqCst);
         *self.reasons.lock().expect("no panic with the lock").entry(reason).or_default() += 1;
@@ -66,12 +67,12 @@
         let text = arguments.next();
         Ok(Duration::from_secs(text.map_or(Ok(default), |text| text.parse())?))
     };
-    let (calm, storm) = (seconds(60)?, seconds(120)?);
+    let (baseline_duration, crash_duration) = (seconds(60)?, seconds(120)?);
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
-    runtime.block_on(run(calm, storm))
+    runtime.block_on(run(baseline_duration, crash_duration))
 }
 
-async fn run(calm: Duration, storm: Duration) -> Result<()> {
+async fn run(baseline_duration: Duration, crash_duration: Duration) -> Result<()> {
     let plan = FleetPlan {
         daemons_per_data_centre: 3,
         voters: 5,
@@ -83,98 +84,104 @@
     };
     let mut fleet = Fleet::start(plan).await?;
     let callers: Vec<SocketAddr> = (0..fleet.len()).map(|n| fleet.callers(n)).collect();
-    let quiet = phase(&mut fleet, &callers, calm, false).await?;
-    let stormy = phase(&mut fleet, &callers, storm, true).await?;
-    let rate = |tally: &Tally, span: Duration| {
-        tally.tokens.load(Ordering::SeqCst) as f64 / span.as_secs_f64()
+    let baseline_outcomes = run_phase(&mut fleet, &callers, baseline_duration, false).await?;
+    let crash_outcomes = run_phase(&mut fleet, &callers, crash_duration, true).await?;
+    let rate = |outcomes: &CallerOutcomes, duration: Duration| {
+        outcomes.tokens.load(Ordering::SeqCst) as f64 / duration.as_secs_f64()
     };
-    let (before, after) = (rate(&quiet, calm), rate(&stormy, storm));
+    let (without_crashes, with_crashes) =
+        (rate(&baseline_outcomes, baseline_duration), rate(&crash_outcomes, crash_duration));
     println!(
-        "goodput {before:.0} tokens/s without failures, {after:.0} with: {:.1} %",
-        after / before * 100.0
+        "goodput: {without_crashes:.0} tokens/s without crashes, {with_crashes:.0} tokens/s with \
+         crashes ({:.1} %)",
+        with_crashes / without_crashes * 100.0
     );
-    let mut faults = verdict(&fleet, &quiet).await?;
-    faults += verdict(&fleet, &stormy).await?;
-    if faults > 0 {
-        bail!("{faults} violations");
+    let mut violations = count_violations(&fleet, &baseline_outcomes).await?;
+    violations += count_violations(&fleet, &crash_outcomes).await?;
+    if violations > 0 {
+        bail!("{violations} violations");
     }
-    println!("verdict: no violation");
+    println!("no violations");
     Ok(())
 }
 
-/// Runs the load for a while, with deaths or without.
-async fn phase(
+/// Runs the load for the given time, with or without crashes.
+async fn run_phase(
     fleet: &mut Fleet,
     callers: &[SocketAddr],
-    span: Duration,
-    deaths: bool,
-) -> Result<Arc<Tally>> {
-    let tally = Arc::new(Tally::default());
-    let run = Arc::new(AtomicBool::new(true));
+    duration: Duration,
+    with_crashes: bool,
+) -> Result<Arc<CallerOutcomes>> {
+    let outcomes = Arc::new(CallerOutcomes::default());
+    let keep_running = Arc::new(AtomicBool::new(true));
     let mut workers = tokio::task::JoinSet::new();
     for worker in 0..PROMPT_WORKERS {
-        let (tally, run, callers) = (Arc::clone(&tally), Arc::clone(&run), callers.to_vec());
-        workers.spawn(prompts(worker, deaths, callers, tally, run));
+        let (outcomes, keep_running, callers) =
+            (Arc::clone(&outcomes), Arc::clone(&keep_running), callers.to_vec());
+        workers.spawn(send_prompts(worker, with_crashes, callers, outcomes, keep_running));
     }
     for worker in 0..CONFIRM_WORKERS {
-        let (tally, run, callers) = (Arc::clone(&tally), Arc::clone(&run), callers.to_vec());
-        workers.spawn(confirmations(worker, deaths, callers, tally, run));
+        let (outcomes, keep_running, callers) =
+            (Arc::clone(&outcomes), Arc::clone(&keep_running), callers.to_vec());
+        workers.spawn(send_confirmations(worker, with_crashes, callers, outcomes, keep_running));
     }
     let started = Instant::now();
-    let usage = process_usage(std::process::id())?;
+    let usage_before = process_usage(std::process::id())?;
     let mut round = 0;
     let mut accepted = ObjectRevision::ZERO;
-    while started.elapsed() < span {
+    while started.elapsed() < duration {
         round += 1;
-        if deaths {
-            death(fleet, round).await?;
+        if with_crashes {
+            inject_crash(fleet, round).await?;
         }
-        accepted = accepted.max(change(fleet, round, deaths).await?);
-        tokio::time::sleep(DEATH_EVERY).await;
+        accepted = accepted.max(submit_change(fleet, round, with_crashes).await?);
+        tokio::time::sleep(ROUND_DELAY).await;
     }
-    run.store(false, Ordering::SeqCst);
+    keep_running.store(false, Ordering::SeqCst);
     while let Some(done) = workers.join_next().await {
         done?;
     }
-    let later = process_usage(std::process::id())?;
+    let usage_after = process_usage(std::process::id())?;
     println!(
-        "{} for {:.0} s: {} prompts whole, {} refused as not run, {} failed, {} lost with their \
-         daemon, {} wrong; {} confirmations, {} unknown, {} not run; {round} rounds",
-        if deaths { "deaths" } else { "calm" },
-        span.as_secs_f64(),
-        tally.whole.load(Ordering::SeqCst),
-        tally.refused.load(Ordering::SeqCst),
-        tally.failed.load(Ordering::SeqCst),
-        tally.broken.load(Ordering::SeqCst),
-        tally.wrong.load(Ordering::SeqCst),
-        tally.confirmed.load(Ordering::SeqCst),
-        tally.confirmed_unknown.load(Ordering::SeqCst),
-        tally.confirmed_not_run.load(Ordering::SeqCst),
+        "{} for {:.0} s: {} prompts completed, {} refused as not run, {} failed, {} lost their \
+         connection, {} incorrect; {} confirmations answered, {} unknown, {} not run; {round} \
+         rounds",
+        if with_crashes { "with crashes" } else { "without crashes" },
+        duration.as_secs_f64(),
+        outcomes.completed.load(Ordering::SeqCst),
+        outcomes.refused.load(Ordering::SeqCst),
+        outcomes.failed.load(Ordering::SeqCst),
+        outcomes.connection_lost.load(Ordering::SeqCst),
+        outcomes.incorrect.load(Ordering::SeqCst),
+        outcomes.confirmed.load(Ordering::SeqCst),
+        outcomes.confirmed_unknown.load(Ordering::SeqCst),
+        outcomes.confirmed_not_run.load(Ordering::SeqCst),
     );
-    for (reason, count) in tally.reasons.lock().expect("no panic with the lock").iter() {
+    for (reason, count) in outcomes.reasons.lock().expect("no panic with the lock").iter() {
         println!("  {count} x {reason}");
     }
-    println!("{}", tally.first_token.lock().expect("no panic with the lock"));
+    println!("{}", outcomes.first_token.lock().expect("no panic with the lock"));
     println!(
-        "resident {:.0} to {:.0} MB, descriptors {} to {} (daemons, engines and callers in one)\n",
-        usage.resident as f64 / 1e6,
-        later.resident as f64 / 1e6,
-        usage.descriptors,
-        later.descriptors
+        "resident {:.0} to {:.0} MB, descriptors {} to {} (daemons, engines and callers in one \
+         process)\n",
+        usage_before.resident as f64 / 1e6,
+        usage_after.resident as f64 / 1e6,
+        usage_before.descriptors,
+        usage_after.descriptors
     );
     wait_in_force(fleet, accepted).await?;
-    Ok(tally)
+    Ok(outcomes)
 }
 
-/// Kills a daemon or an engine and lets the one before come back.
-async fn death(fleet: &mut Fleet, round: usize) -> Result<()> {
+/// Crashes and replaces an engine in even rounds; crashes and restarts a daemon in odd rounds.
+async fn inject_crash(fleet: &mut Fleet, round: usize) -> Result<()> {
     let count = fleet.len();
     if round.is_multiple_of(2) {
         let engine = round / 2 % fleet.engines.len();
-        let reborn = fleet.start_engine(engine).await?;
-        // The old one dies as the new one takes its place.
+        let replacement = fleet.start_engine(engine).await?;
+        // The old engine is killed after its replacement has started.
         fleet.engines[engine].kill();
-        fleet.engines[engine] = reborn;
+        fleet.engines[engine] = replacement;
         return Ok(());
     }
     let victim = round / 2 % count;
@@ -183,8 +190,9 @@
     fleet.restart(victim).await
 }
 
-/// Accepts a change through any daemon; returns the configuration's revision after it.
-async fn change(fleet: &Fleet, round: usize, deaths: bool) -> Result<ObjectRevision> {
+/// Submits a change through the daemon of this round. Returns the revision of the configuration
+/// that contains the change.
+async fn submit_change(fleet: &Fleet, round: usize, with_crashes: bool) -> Result<ObjectRevision> {
     let daemon = fleet.operators(round % fleet.len());
     let spec = ObjectSpec::Model(ModelSpec {
         version: round.to_string(),
@@ -192,7 +200,7 @@
         replicas: Default::default(),
         max_prompt: TokenCount(10),
     });
-    let name = format!("soak-{deaths}-{round}");
+    let name = format!("soak-{with_crashes}-{round}");
     let answer = fleet.operator.put(daemon, &format!("change-{name}"), &name, 0, spec).await?;
     Ok(answer.config_revision)
 }
@@ -204,16 +212,17 @@
     Ok(())
 }
 
-async fn prompts(
+/// Sends prompts of mixed lengths while the flag is set.
+async fn send_prompts(
     worker: usize,
-    deaths: bool,
+    with_crashes: bool,
     callers: Vec<SocketAddr>,
-    tally: Arc<Tally>,
-    run: Arc<AtomicBool>,
+    outcomes: Arc<CallerOutcomes>,
+    keep_running: Arc<AtomicBool>,
 ) {
     let caller = TestCaller::new(&account_key(worker % ACCOUNTS));
-    let mut seed = worker as u64 * 10_000_000 + u64::from(deaths) * 5_000_000;
-    while run.load(Ordering::SeqCst) {
+    let mut seed = worker as u64 * 10_000_000 + u64::from(with_crashes) * 5_000_000;
+    while keep_running.load(Ordering::SeqCst) {
         seed += 1;
         let (class, tokens) = match seed % 50 {
             0 => ("4: huge, 150 k", 150_000),
@@ -231,35 +240,36 @@
         let address = callers[seed as usize % callers.len()];
         match caller.complete(address, &call).await {
             Ok(reply) => {
-                tally.whole.fetch_add(1, Ordering::SeqCst);
-                tally.tokens.fetch_add(reply.tokens + tokens as u64, Ordering::SeqCst);
-                let mut table = tally.first_token.lock().expect("no panic with the lock");
+                outcomes.completed.fetch_add(1, Ordering::SeqCst);
+                outcomes.tokens.fetch_add(reply.tokens + tokens as u64, Ordering::SeqCst);
+                let mut table = outcomes.first_token.lock().expect("no panic with the lock");
                 table.record(class, reply.first_token);
             }
             Err(error) => {
-                tally.note(&error);
-                // Callers come back after a moment, at another address.
+                outcomes.record_error(&error);
+                // Callers retry at another address after a short delay.
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         }
     }
 }
 
-/// Sends confirmations, each again and again through other daemons until its end is known.
-async fn confirmations(
+/// Sends confirmations while the flag is set. Resends each through other daemons, up to 39 times,
+/// until its outcome is known.
+async fn send_confirmations(
     worker: usize,
-    deaths: bool,
+    with_crashes: bool,
     callers: Vec<SocketAddr>,
-    tally: Arc<Tally>,
-    run: Arc<AtomicBool>,
+    outcomes: Arc<CallerOutcomes>,
+    keep_running: Arc<AtomicBool>,
 ) {
     let caller = TestCaller::new(&account_key(worker % ACCOUNTS));
     let mut number = 0;
-    while run.load(Ordering::SeqCst) {
+    while keep_running.load(Ordering::SeqCst) {
         number += 1;
-        let key = format!("soak-{deaths}-{worker}-{number}");
+        let key = format!("soak-{with_crashes}-{worker}-{number}");
         let body = format!("confirm {key}");
-        let mut last = None;
+        let mut last_answer = None;
         for attempt in 0..40 {
             let address = callers[(number + attempt) % callers.len()];
             let answer = caller.call_service(address, SERVICE, &body, Some(&key)).await;
@@ -271,40 +281,41 @@
                 }
                 Err(_) => false,
             };
-            last = Some(answer);
+            last_answer = Some(answer);
             if settled {
                 break;
             }
             tokio::time::sleep(Duration::from_millis(150)).await;
         }
-        match last {
-            Some(Ok(_)) => tally.confirmed.fetch_add(1, Ordering::SeqCst),
+        match last_answer {
+            Some(Ok(_)) => outcomes.confirmed.fetch_add(1, Ordering::SeqCst),
             Some(Err(CallerError::Api(error))) if error.ran == RanState::No => {
-                let mut not_run = tally.not_run.lock().expect("no panic with the lock");
+                let mut not_run = outcomes.not_run.lock().expect("no panic with the lock");
                 not_run.insert(key, body);
-                tally.confirmed_not_run.fetch_add(1, Ordering::SeqCst)
+                outcomes.confirmed_not_run.fetch_add(1, Ordering::SeqCst)
             }
-            _ => tally.confirmed_unknown.fetch_add(1, Ordering::SeqCst),
+            _ => outcomes.confirmed_unknown.fetch_add(1, Ordering::SeqCst),
         };
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Compares what callers were told with what the stand-ins did; returns the violations.
-async fn verdict(fleet: &Fleet, tally: &Tally) -> Result<u64> {
+/// Compares the outcomes reported to callers with the runs recorded by the stand-ins. Returns the
+/// number of violations.
+async fn count_violations(fleet: &Fleet, outcomes: &CallerOutcomes) -> Result<u64> {
     let mut runs: BTreeMap<String, Vec<String>> = BTreeMap::new();
     for run in fleet.services.iter().flat_map(ServiceServer::ledger) {
         runs.entry(run.body).or_default().push(run.attempt);
     }
-    let doubled: Vec<_> = runs.iter().filter(|(_, attempts)| attempts.len() > 1).collect();
-    for (body, attempts) in &doubled {
-        // The attempts name the entry, its start and the request.
-        println!("DOUBLED {body}: {}", attempts.join(", "));
+    let duplicated: Vec<_> = runs.iter().filter(|(_, attempts)| attempts.len() > 1).collect();
+    for (body, attempts) in &duplicated {
+        // An attempt id contains the entry, the start of the entry and the number of the request.
+        println!("DUPLICATE RUN of {body}: {}", attempts.join(", "));
     }
-    let doubled = doubled.len();
-    let not_run = tally.not_run.lock().expect("no panic with the lock").clone();
-    let lies = not_run.values().filter(|body| runs.contains_key(*body)).count();
-    let wrong = tally.wrong.load(Ordering::SeqCst);
+    let duplicated = duplicated.len();
+    let not_run = outcomes.not_run.lock().expect("no panic with the lock").clone();
+    let false_not_run = not_run.values().filter(|body| runs.contains_key(*body)).count();
+    let incorrect = outcomes.incorrect.load(Ordering::SeqCst);
     let mut held = u64::MAX;
     for _ in 0..200 {
         held = 0;
@@ -321,9 +332,10 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     println!(
-        "{} confirmations run, {doubled} doubled, {lies} said not to have run that did, {wrong} \
-         wrong answers, {held} memory or requests left",
+        "{} confirmations run, {duplicated} run more than once, {false_not_run} reported as not \
+         run although they ran, {incorrect} incorrect answers, {held} tokens of memory or requests \
+         still held",
         runs.len()
     );
-    Ok(doubled as u64 + lies as u64 + wrong + u64::from(held > 0))
+    Ok(duplicated as u64 + false_not_run as u64 + incorrect + u64::from(held > 0))
 }
