--- a/crates/placement/src/cost.rs
+++ b/crates/placement/src/cost.rs
@@ -9,9 +9,9 @@
 
 use crate::plan::{PromptAsk, PromptKey};
 
-/// Value of a prompt per token, in addition to 1 per prompt. It approximates the weights of
-/// deployments: 1.3 for a prompt of 5,000 tokens, 3.1 for 45,000, 22 for 210,000, and by size
-/// within a kind.
+/// Value of a prompt per token, in addition to 1 per prompt. It approximates the weights that
+/// deployments give to their kinds of prompts: 1.3 for 5,000 tokens, 3.1 for 45,000, 22 for 210,000.
+/// Within a kind, they weight prompts by size.
 const VALUE_PER_TOKEN: f64 = 1.0 / 10_000.0;
 
 /// Share of a prompt's value that is lost when it is late. Deployments count a late answer as about
@@ -233,8 +233,8 @@
         self.neighbours.iter().map(loss).sum()
     }
 
-    /// Returns the loss of each waiting prompt through a helper's part, which is read before
-    /// theirs.
+    /// Returns the loss of each waiting prompt through a helper's part, which is read before the
+    /// prompt's own part.
     pub(crate) fn delays(&self, part_ms: f64) -> impl Iterator<Item = (PromptKey, f64)> {
         self.waiting.iter().map(move |part| (part.key, part.delay_loss(part_ms)))
     }
--- a/crates/placement/src/fleet.rs
+++ b/crates/placement/src/fleet.rs
@@ -207,7 +207,8 @@
         ask: &PromptAsk,
         scope: EngineScope,
     ) -> Result<PromptPlan, PlacementRefusal> {
-        // A prompt that is requested again has lost its answer and uses the new placement.
+        // If the prompt is placed already, the response to the earlier request was lost, and the new
+        // placement replaces the earlier one.
         if self.placed.contains_key(&ask.key) {
             self.ended(now, ask.key);
         }
@@ -388,11 +389,11 @@
     }
 
     /// Records a prompt that another home placed, so that its engines count as busy. If this home
-    /// placed the prompt on a different main engine, its answer came too late and the other home's
-    /// placement applies.
+    /// placed the prompt on a different main engine, its response to the entry came too late, and
+    /// the other home's placement applies.
     pub fn adopt(&mut self, now: MonotonicTime, ask: &PromptAsk, plan: &PromptPlan, begun: bool) {
-        let is_placed_so = self.farm.engines_of(ask.key).first() == Some(&plan.main);
-        if is_placed_so || !self.engines.contains_key(&plan.main) {
+        let has_same_main = self.farm.engines_of(ask.key).first() == Some(&plan.main);
+        if has_same_main || !self.engines.contains_key(&plan.main) {
             return;
         }
         if self.placed.contains_key(&ask.key) {
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,13 +1,13 @@
 //! Places prompts on engines by predicting the behaviour of each engine.
 //!
-//! The behaviour of an engine is published as an `EngineProfile`: the duration of a step, the rate
-//! of reading prompts, and how reading and writing share a pass. [`EnginePasses`] simulates one
-//! engine in logical time, [`EngineFarm`] several engines that read prompts in parts.
-//! [`EngineFleet`] keeps a farm in step with the real engines. It predicts when a prompt's first
-//! event would come and which answers in progress would pause for too long. A prompt is placed
-//! where the expected loss over all affected requests is least. A long prompt is read in parts by a
-//! group of engines: the main engine, which receives the request and writes the answer, and
-//! helpers, which each read a part.
+//! An engine reads a prompt (prefill) and then writes its answer (decoding). The behaviour of an
+//! engine is published as an `EngineProfile`: the duration of a step, the rate of reading prompts,
+//! and how reading and writing share a pass. [`EnginePasses`] simulates one engine in logical time,
+//! [`EngineFarm`] several engines that read prompts in parts. [`EngineFleet`] keeps a farm in step
+//! with the real engines. It predicts when a prompt's first event would come and which answers in
+//! progress would pause for too long. A prompt is placed where the expected loss over all affected
+//! requests is least. A long prompt is read in parts by a group of engines: the main engine, which
+//! receives the request and writes the answer, and helpers, which each read a part.
 //!
 //! The predictions are corrected by the observations of the entries, the instances that receive the
 //! callers' requests: first events, ends and failures. The home, the daemon that places prompts for
--- a/crates/placement/tests/long_surges.rs
+++ b/crates/placement/tests/long_surges.rs
@@ -46,7 +46,7 @@
 }
 
 fn place(fleet: &mut EngineFleet, now_ms: u64, number: u64, prompt_tokens: u64) -> PromptPlan {
-    fleet.place(at(now_ms), &ask(number, prompt_tokens)).expect("a place")
+    fleet.place(at(now_ms), &ask(number, prompt_tokens)).expect("prompt is placed")
 }
 
 #[test]
@@ -76,7 +76,7 @@
     let mut fleet = fleet();
     let first = Duration::from_millis(1_200);
     let tight = PromptAsk { objective: first, whole_objective: first, ..ask(1, 480_000) };
-    let early = fleet.place(at(0), &tight).expect("a place");
+    let early = fleet.place(at(0), &tight).expect("prompt is placed");
     let reads: BTreeSet<_> = early.helpers.iter().map(|h| h.endpoint.clone()).collect();
     let mut shared = 0;
     for number in 2..4 {
--- a/crates/placement/tests/suspects.rs
+++ b/crates/placement/tests/suspects.rs
@@ -33,7 +33,8 @@
     is_suspect: bool,
 ) -> Vec<EndpointStart> {
     let at = MonotonicTime(1_000_000);
-    let place = |number| fleet.place(at, &ask(number, 5_000, is_suspect)).expect("a place").main;
+    let place =
+        |number| fleet.place(at, &ask(number, 5_000, is_suspect)).expect("prompt is placed").main;
     prompts.map(place).collect()
 }
 
@@ -68,6 +69,6 @@
     let mut long = ask(100, 600_000, true);
     (long.objective, long.whole_objective) = (Duration::from_secs(20), Duration::from_secs(20));
     (long.pause, long.deadline) = (Duration::from_secs(1), Duration::from_secs(60));
-    let plan = fleet.place(MonotonicTime(1_000_000), &long).expect("a place");
+    let plan = fleet.place(MonotonicTime(1_000_000), &long).expect("prompt is placed");
     assert!(!plan.helpers.is_empty(), "placed on one engine, which cannot hold it");
 }
