--- a/crates/quarantine/src/case.rs
+++ b/crates/quarantine/src/case.rs
@@ -32,9 +32,9 @@
 /// this much.
 const CLEARED_RETENTION: Duration = Duration::from_secs(60);
 
-/// Time by which a full table keeps an answered request longer than a suspect. Most suspects lose their
+/// Time by which a full table keeps a cleared request longer than a suspect. Most suspects lose their
 /// endpoints within this time.
-const ANSWERED_EVICTION_GRACE: Duration = Duration::from_secs(4);
+const CLEARED_EVICTION_GRACE: Duration = Duration::from_secs(4);
 
 /// The effect of recording an end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -133,11 +133,11 @@
     }
 
     /// Returns the time until which the attribution uses the case: for a suspect the time of its last end, and
-    /// for an answered request [`ANSWERED_EVICTION_GRACE`] later, since the requests that were suspects by
+    /// for a cleared request [`CLEARED_EVICTION_GRACE`] later, since the requests that were suspects by
     /// then still need it.
     pub(crate) fn relevant_until(&self) -> Option<MonotonicTime> {
         let is_open = self.open_ends().next().is_some();
-        let retention = if is_open { Duration::ZERO } else { ANSWERED_EVICTION_GRACE };
+        let retention = if is_open { Duration::ZERO } else { CLEARED_EVICTION_GRACE };
         self.last_observed_end().map(|seen| seen + retention)
     }
 
@@ -154,7 +154,7 @@
     }
 
     /// Returns whether the attribution needs the case after a restart of the process: the request lost several
-    /// endpoints, or was answered and shows that endpoints end by chance.
+    /// endpoints, or was cleared and shows that endpoints end by chance.
     pub(crate) fn is_durable(&self) -> bool {
         self.ends.len() >= MIN_DURABLE_ENDS || self.open_ends().next().is_none()
     }
--- a/crates/quarantine/src/evidence.rs
+++ b/crates/quarantine/src/evidence.rs
@@ -54,7 +54,7 @@
     weights: Vec<f64>,
     /// For each end, the number of cleared requests whose last end was earlier. One more item
     /// holds the total.
-    answered_before: Vec<f64>,
+    cleared_before: Vec<f64>,
     /// For each end, the range of ends within [`CHANCE_WINDOW`] of it.
     windows: Vec<Range<EndIndex>>,
 }
@@ -77,14 +77,14 @@
         let seen: Vec<MonotonicTime> = ordered.iter().map(|(seen, _)| *seen).collect();
 
         let mut repeated = vec![0.0; seen.len()];
-        let mut answered = vec![0.0; seen.len()];
+        let mut cleared = vec![0.0; seen.len()];
         let mut suspects = Vec::new();
         for (digest, case) in cases {
             let all = sorted(case.ends().map(|(endpoint, _)| index[endpoint]));
             all.iter().skip(1).for_each(|end| repeated[*end] += REPEATED_END_WEIGHT);
             let open = sorted(case.open_ends().map(|(endpoint, _)| index[endpoint]));
             if let (Some(last), true) = (all.last(), open.is_empty()) {
-                answered[*last] += 1.0;
+                cleared[*last] += 1.0;
             }
             if open.len() >= MIN_SUSPECT_ENDS {
                 suspects.push(SuspectEnds { digest: *digest, ends: open });
@@ -95,7 +95,7 @@
             suspects,
             endpoints: ordered.into_iter().map(|(_, endpoint)| endpoint.clone()).collect(),
             weights: repeated.into_iter().map(bounded).collect(),
-            answered_before: prefix_sums(answered),
+            cleared_before: prefix_sums(cleared),
             windows: seen.iter().map(|end| window_around(&seen, *end)).collect(),
             seen,
         }
@@ -110,14 +110,14 @@
         let surprisal = |window: &Range<EndIndex>| {
             let within = |sums: &[f64]| sums[window.end] - sums[window.start];
             let ends = PSEUDO_ENDS + within(&ends_before);
-            let answered = PSEUDO_RUNS - PSEUDO_ENDS + within(&self.answered_before);
-            -(ends / (ends + answered)).max(MIN_CHANCE_PROBABILITY).ln()
+            let cleared = PSEUDO_RUNS - PSEUDO_ENDS + within(&self.cleared_before);
+            -(ends / (ends + cleared)).max(MIN_CHANCE_PROBABILITY).ln()
         };
         self.windows.iter().map(surprisal).collect()
     }
 
     /// Returns the unexplained ends of a suspect. Of ends within [`COINCIDENCE_WINDOW`] only the first is
-    /// returned, since simultaneous ends have a common cause such as a rack or an operator.
+    /// returned, since simultaneous ends have a common cause such as a rack's power failure or an operator.
     pub(crate) fn unexplained<'a>(
         &'a self,
         suspect: &'a SuspectEnds,
--- a/crates/quarantine/src/table.rs
+++ b/crates/quarantine/src/table.rs
@@ -106,8 +106,8 @@
         Some(update)
     }
 
-    /// Merges an update from another instance. Returns whether the update held an
-    /// end or a clearance that was not known.
+    /// Merges an update from another instance. Returns whether the update held an end or a clearance
+    /// that was not known.
     pub fn merge(&mut self, now: MonotonicTime, update: &CaseUpdate) -> bool {
         let known = self.cases.get(&update.digest);
         let mut case = known.cloned().unwrap_or_default();
@@ -145,8 +145,8 @@
         case.open_ends().any(|(endpoint, _)| !self.attribution().explained.contains(endpoint))
     }
 
-    /// Records that a quarantined request is sent for a trial. The interval to the next trial starts anew, as
-    /// after an end.
+    /// Records that a quarantined request is sent for a trial. This restarts the interval to the next trial,
+    /// as an end does.
     pub fn begin_trial(&mut self, now: MonotonicTime, digest: RequestDigest) {
         if let Some(case) = self.cases.get_mut(&digest) {
             case.last_trial = Some(now);
--- a/crates/quarantine/tests/random_worlds.rs
+++ b/crates/quarantine/tests/random_worlds.rs
@@ -6,7 +6,7 @@
 
 use world::{World, WorldReport, WorldShape};
 
-/// Maximum number of sends by connected instances after a fatal request's third end.
+/// Maximum of [`WorldReport::late_sends`] for each fatal request.
 const MAX_LATE_SENDS: u64 = 3;
 
 /// Small deployments, with a low rate of other requests to keep the simulations short.
--- a/crates/quarantine/tests/world/mod.rs
+++ b/crates/quarantine/tests/world/mod.rs
@@ -197,12 +197,12 @@
             world.schedule(first, Event::Synchronize(instance));
         }
         let others = shape.others_per_s * shape.duration_ms / 1_000;
-        for number in 0..usize::try_from(others).expect("a count") {
+        for number in 0..usize::try_from(others).expect("the count fits into `usize`") {
             let request = world.add_request(&format!("other {number}"), false);
             let when = world.rng.random_range(0..shape.duration_ms);
             world.schedule(when, Event::Arrive(request));
         }
-        world.report.others = usize::try_from(others).expect("a count");
+        world.report.others = usize::try_from(others).expect("the count fits into `usize`");
         world.schedule(shape.chance_end_interval_ms, Event::ChanceEnd);
         world.schedule(shape.disturbance_interval_ms, Event::Disturbance);
         world
@@ -413,7 +413,7 @@
         if !entry.is_up || entry.boot != boot || entry.is_partitioned {
             return self.fail(request);
         }
-        let id: EndpointId = format!("e{endpoint}").parse().expect("an id");
+        let id: EndpointId = format!("e{endpoint}").parse().expect("the id is valid");
         let start = EndpointStart::new(id, StartTime(generation + 1));
         let (now, digest) = (self.time(), self.requests[request].digest);
         if let Some(update) = self.instances[instance].table.record_end(now, digest, &start) {
--- a/crates/routing/tests/drains.rs
+++ b/crates/routing/tests/drains.rs
@@ -3,7 +3,7 @@
 use oriolepass_routing::{DrainCommand, DrainOutcome, DrainRegister, DrainRevision};
 
 fn command(data_centre: &str, is_drained: bool, base_revision: u64) -> DrainCommand {
-    let data_centre = data_centre.parse().expect("a data centre");
+    let data_centre = data_centre.parse().expect("the id is valid");
     DrainCommand { data_centre, is_drained, base_revision: DrainRevision(base_revision) }
 }
 
