--- a/crates/config/src/command.rs
+++ b/crates/config/src/command.rs
@@ -22,7 +22,7 @@
 pub struct ClaimCommand {
     /// The account.
     pub account: AccountId,
-    /// The caller's name for the request.
+    /// The caller key, which identifies the request within the account.
     pub key: CallerKey,
     /// SHA-256 digest of the request's content.
     pub body_digest: String,
@@ -52,7 +52,7 @@
 pub struct SettleCommand {
     /// The account.
     pub account: AccountId,
-    /// The caller's name for the request.
+    /// The caller key, which identifies the request within the account.
     pub key: CallerKey,
     /// The claim's nonce.
     pub nonce: AttemptId,
@@ -79,7 +79,8 @@
 /// A command of the replicated log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReplicatedCommand {
-    /// Changes nothing; a new leader commits a no-op to determine the commit index.
+    /// Changes nothing. A log entry that holds no command is applied as a no-op: a voter set, or the
+    /// empty entry that a new leader commits to determine the commit index.
     Noop,
     /// Creates the first team, an admin team that can create the others; has no effect once a
     /// team exists.
--- a/crates/config/src/members.rs
+++ b/crates/config/src/members.rs
@@ -33,7 +33,7 @@
     pub boot: u64,
     /// Its lease, which [`MemberTable`] assigns.
     pub epoch: LeaseEpoch,
-    /// Whether it drains before it leaves.
+    /// Whether it is draining before it leaves.
     pub draining: bool,
     /// Its listen addresses.
     pub addresses: MemberAddresses,
@@ -97,7 +97,7 @@
 ///
 /// # Panics
 ///
-/// Panics when `shards` is 0.
+/// Panics if `shards` is 0.
 pub fn shard_of(data_centre: &DataCentreId, endpoint: &EndpointId, shards: u32) -> ShardId {
     use sha2::{Digest, Sha256};
 
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -280,9 +280,9 @@
             leader.progress.get(replica).map_or(LogIndex::ZERO, |p| p.matched)
         };
         let Some(index) = self.voters().quorum_value(matched) else { return };
-        // Counting replicas commits only entries of the leader's own term, and with them all
-        // entries before. An entry of an earlier term that a quorum holds may still be replaced
-        // by a leader that does not have it.
+        // A leader commits only entries of its own term by counting replicas; all earlier entries
+        // are committed with them. An entry of an earlier term that a quorum holds may still be
+        // replaced by a leader that does not have it.
         if index > self.commit && self.log.term_at(index) == Some(self.term) {
             self.commit = index;
             if let RoleState::Leader(leader) = &mut self.role {
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -10,12 +10,12 @@
 //!
 //! * State that a message promises is synced before the message is sent ([`PersistBatch`]).
 //! * A voter that heard from a leader does not vote within the election timeout. The leader's
-//!   lease relies on this rule, and a restarted voter waits for the same time before it votes.
+//!   lease relies on this rule, so a restarted voter waits for the same time before it votes.
 //! * A replica is an instance *and* a disk ([`ReplicaId`]). An instance that lost its disk is
 //!   another replica, and its old votes and acknowledgements no longer count.
 //! * A new cluster forms only once all its first voters have met, so that wiped voters cannot
 //!   form a second cluster.
-//! * Counting replicas commits only entries of the leader's own term.
+//! * A leader commits only entries of its own term by counting replicas.
 //!
 //! Invariants are asserted in every build. A violated invariant stops the process, because
 //! continuing could spread the corruption to the other replicas.
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -1,4 +1,4 @@
-//! Tracks a leader's replication progress to one other replica.
+//! Tracks the replication progress of one other replica on the leader.
 
 use std::sync::Arc;
 
@@ -20,7 +20,7 @@
     Snapshot { held: Arc<HeldSnapshot>, offset: u64 },
 }
 
-/// The replication state of one replica, as known to its leader.
+/// The replication state of one replica, as known to the leader.
 #[derive(Debug)]
 pub(crate) struct ReplicaProgress {
     pub(crate) next: LogIndex,
--- a/crates/consensus/src/reconcile.rs
+++ b/crates/consensus/src/reconcile.rs
@@ -57,12 +57,12 @@
 
     /// Updates the set of replicas that receive entries to match the voter set in force.
     fn update_progress_set(&mut self) {
-        let wanted_replicas: Vec<ReplicaId> =
+        let receivers: Vec<ReplicaId> =
             self.voters().replicas().filter(|r| **r != self.id).cloned().collect();
         let next = self.log.last_index().next();
         let Some(leader) = self.leader_state_mut() else { return };
-        leader.progress.retain(|replica, _| wanted_replicas.contains(replica));
-        for replica in wanted_replicas {
+        leader.progress.retain(|replica, _| receivers.contains(replica));
+        for replica in receivers {
             leader.progress.entry(replica).or_insert_with(|| ReplicaProgress::new(next));
         }
     }
--- a/crates/consensus/tests/harness/mod.rs
+++ b/crates/consensus/tests/harness/mod.rs
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Returns the plan of a seed with suspended machines, several at once too.
+    /// Returns the plan of a seed in which machines are suspended, possibly several at once.
     pub fn with_suspensions(seed: u64, clock: SuspendedClock) -> Self {
         Self { suspensions: Some(clock), ..Self::for_seed(seed) }
     }
@@ -203,7 +203,8 @@
         self.checks.check_complete(&self.nodes);
     }
 
-    /// Makes all nodes lose power while commands are accepted, and one of several nodes its disk.
+    /// Cuts the power of all nodes while commands are accepted. If there is more than one node, one
+    /// node may lose its disk too.
     fn final_power_loss(&mut self, coverage: &mut Coverage) {
         for _ in 0..self.random.random_range(0..30) {
             self.propose(coverage);
@@ -235,7 +236,7 @@
         }
     }
 
-    /// Injects a random fault, operation or nothing.
+    /// Injects a random fault, performs a random operation or does nothing.
     fn inject_fault(&mut self, coverage: &mut Coverage) {
         let count = self.nodes.len();
         let victim = self.random.random_range(0..count);
@@ -244,7 +245,8 @@
             6..=30 => self.start(victim, coverage),
             31..=36 if count > 1 => self.cut(victim, coverage),
             37..=38 if self.plan.lose_disks => self.lose_disk(victim, coverage),
-            // Crashes a node that is writing, because it must not have promised unsynced state.
+            // Crashes a node that is writing. It must not have promised the state that it loses,
+            // because that state was not synced.
             226..=229 => {
                 let writing = (0..count).find(|node| self.nodes[*node].is_writing());
                 if let Some(node) = writing {
@@ -399,7 +401,7 @@
             }
         }
         let lease_holders: Vec<usize> = (0..self.nodes.len())
-            // A suspended node answers nobody until it resumes, and is checked from then on.
+            // A suspended node sends no answers until it resumes, and is checked from then on.
             .filter(|index| !self.is_suspended(*index))
             .filter(|index| self.nodes[*index].holds_lease(self.now(*index)))
             .collect();
--- a/crates/storage/tests/log_store.rs
+++ b/crates/storage/tests/log_store.rs
@@ -10,7 +10,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-const SMALL_SEGMENT: u64 = 256;
+const SEGMENT_BYTES: u64 = 256;
 
 fn entry(index: u64, term: u64) -> LogRecord {
     LogRecord::Entry(StoredEntry {
@@ -25,14 +25,14 @@
 }
 
 fn open(disk: &FakeDisk) -> Result<(LogStore, RecoveredLog), StorageError> {
-    LogStore::open(DiskFolder::fake(disk.clone()), SMALL_SEGMENT)
+    LogStore::open(DiskFolder::fake(disk.clone()), SEGMENT_BYTES)
 }
 
 fn reopen(
     disk: &FakeDisk,
     tails: &mut UnsyncedTails,
 ) -> Result<(LogStore, RecoveredLog), StorageError> {
-    LogStore::open_after_failure(DiskFolder::fake(disk.clone()), SMALL_SEGMENT, tails)
+    LogStore::open_after_failure(DiskFolder::fake(disk.clone()), SEGMENT_BYTES, tails)
 }
 
 /// Simulates a power loss and returns the log that the store then recovers.
@@ -125,7 +125,7 @@
 #[test]
 fn a_missing_segment_is_reported_as_damage() {
     let folder = tempfile::tempdir().expect("a temporary folder");
-    let open = || LogStore::open(DiskFolder::open(folder.path())?, SMALL_SEGMENT);
+    let open = || LogStore::open(DiskFolder::open(folder.path())?, SEGMENT_BYTES);
     let (mut store, _) = open().expect("an empty folder");
     (1..=40).for_each(|index| store.append(&[entry(index, 1)]).expect("room"));
     drop(store);
