--- a/crates/scheduler/src/config.rs
+++ b/crates/scheduler/src/config.rs
@@ -72,7 +72,7 @@
     /// Target load, in percent, of short prompts on the engines that are kept clear of longer
     /// prompts.
     pub clear_load_percent: u64,
-    /// Smallest backlog of the other engines at which longer prompts may also use the engines
+    /// Backlog that every other engine must have before longer prompts may also use the engines
     /// that are kept clear.
     pub spill_after: Duration,
     /// Cost of an answer token, in prompt tokens.
--- a/crates/scheduler/src/grant.rs
+++ b/crates/scheduler/src/grant.rs
@@ -36,7 +36,7 @@
     pub answer: TokenCount,
     /// Priority within the account.
     pub priority: RequestPriority,
-    /// Time-out after which the entry no longer waits for the grant.
+    /// Timeout after which the entry no longer waits for the grant.
     pub patience: Duration,
     /// Hashes of the prompt's prefixes, the shortest first.
     pub prefix: Vec<PrefixHash>,
@@ -84,12 +84,12 @@
     NotServed,
     /// Every endpoint of this home that serves the target has already failed this request.
     AllExcluded,
-    /// The request needs more memory than its endpoints may ever grant.
+    /// The request needs more memory than this home can ever grant for it.
     TooBig {
         /// Maximum memory of one request at this home.
         limit: TokenCount,
     },
-    /// The queue is full, or the request was not served before its time-out.
+    /// The queue is full, or the request was not served before its timeout.
     Busy {
         /// Delay before the next grant request.
         retry_after: Duration,
--- a/crates/scheduler/src/home.rs
+++ b/crates/scheduler/src/home.rs
@@ -20,7 +20,7 @@
 use crate::rate::ArrivalRate;
 
 /// Time after which another home has certainly stopped granting an endpoint's memory, in percent of
-/// the suspect time-out: the other home's clock may be slower than this one's.
+/// the suspect timeout: the other home's clock may be slower than this one's.
 const SUSPECT_TIMEOUT_DRIFT_PERCENT: u32 = 115;
 
 /// The endpoint is unknown to this home, or known with another incarnation. It has to announce
@@ -108,8 +108,8 @@
     /// Adds an endpoint, or records the announcement of a known endpoint as a heartbeat.
     ///
     /// An endpoint belongs to the home that it sends its heartbeats to. A home that receives no
-    /// heartbeats grants nothing on the endpoint after the suspect time-out. An endpoint that comes
-    /// from another home without having been released there is used only after that time-out has
+    /// heartbeats grants nothing on the endpoint after the suspect timeout. An endpoint that comes
+    /// from another home without having been released there is used only after that timeout has
     /// certainly passed at the other home, so that two homes never grant the same memory.
     pub fn announce(
         &mut self,
--- a/crates/scheduler/src/ledger.rs
+++ b/crates/scheduler/src/ledger.rs
@@ -51,7 +51,7 @@
             .collect();
         // The memory of a cancelled stream is free once a list that was requested after the
         // cancellation no longer contains the stream. An earlier list proves nothing.
-        let gone: Vec<AttemptId> = entry
+        let freed: Vec<AttemptId> = entry
             .holds
             .iter()
             .filter(|(attempt, hold)| {
@@ -68,7 +68,7 @@
             let endpoint = endpoint.clone();
             self.commands.push(HomeCommand::Cancel { endpoint, address, attempt });
         }
-        gone.iter().for_each(|attempt| self.free(endpoint, attempt));
+        freed.iter().for_each(|attempt| self.free(endpoint, attempt));
         self.dispatch_all(now);
     }
 
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -83,11 +83,10 @@
         // starve the large prompt indefinitely.
         let guarded = TokenCount(entry.memory.0 * guard / 100);
         let left = entry.free().0.saturating_sub(kept.0);
-        let used_of_guard = entry.memory.0 - entry.memory.0 * guard / 100;
+        let unguarded = entry.memory.0 - entry.memory.0 * guard / 100;
         match class {
             LengthClass::Short => {
-                let within_guard =
-                    guarded.0.saturating_sub(entry.held.0.saturating_sub(used_of_guard));
+                let within_guard = guarded.0.saturating_sub(entry.held.0.saturating_sub(unguarded));
                 room.min(TokenCount(left.max(within_guard)))
             }
             _ => room.min(TokenCount(left.saturating_sub(guarded.0))),
