--- a/crates/request/src/budget.rs
+++ b/crates/request/src/budget.rs
@@ -8,7 +8,7 @@
 /// Cost of one retry, in hundredths of a retry, the unit of the balance.
 const RETRY_COST: u64 = 100;
 
-/// Largest balance. A burst of 50 simultaneous failures can be retried.
+/// Maximum balance. A burst of 50 simultaneous failures can be retried.
 const MAX_BALANCE: u64 = 50 * RETRY_COST;
 
 /// Token bucket for retries that is filled by first attempts.
--- a/crates/request/src/lib.rs
+++ b/crates/request/src/lib.rs
@@ -13,9 +13,9 @@
 //!   is complete only if its end line matches the token count and the digest computed here;
 //! * every requested grant is released.
 //!
-//! A home is the instance that schedules the work of a model or service. A grant is its permission
-//! to use endpoints for one attempt. A claim is the replicated record of a non-repeatable request's
-//! caller key.
+//! A home is the one daemon that grants the use of the endpoints of a shard. A grant is its
+//! permission to use endpoints for one attempt. A claim is the replicated record of a
+//! non-repeatable request's caller key.
 //!
 //! The driver in the daemon performs the input and output, with one task per request.
 
--- a/crates/request/tests/world/deliver.rs
+++ b/crates/request/tests/world/deliver.rs
@@ -126,10 +126,10 @@
                 self.engines[engine].readers.remove(&attempt);
                 self.engines[engine].model.cancel(&attempt);
             }
-            Event::Held { home, engine, asked, streams } => {
+            Event::Held { home, engine, requested_at, streams } => {
                 let endpoint = self.engines[engine].announcement(self.now).endpoint;
                 let before = self.homes[home].counters().cancelled_unexplained;
-                self.homes[home].held_streams(self.now, asked, &endpoint, &streams);
+                self.homes[home].held_streams(self.now, requested_at, &endpoint, &streams);
                 let after = self.homes[home].counters().cancelled_unexplained;
                 coverage.orphans_cancelled += after - before;
                 self.home_commands(home, coverage);
@@ -306,8 +306,8 @@
     fn home_command(&mut self, home: usize, command: HomeCommand, coverage: &mut Coverage) {
         match command {
             HomeCommand::Grant(grant) => {
-                let asker = self.request_of(&grant.attempt);
-                match asker {
+                let requester = self.request_of(&grant.attempt);
+                match requester {
                     Some(request) => {
                         self.post(Event::Answer { request, home, answer: Ok(grant) }, coverage);
                     }
@@ -333,8 +333,8 @@
                 let engine = usize::from(address.port()) - 1;
                 if engine < ENGINES {
                     if self.engines[engine].alive {
-                        let (asked, streams) = (self.now, self.engines[engine].model.held());
-                        self.post(Event::Held { home, engine, asked, streams }, coverage);
+                        let (requested_at, streams) = (self.now, self.engines[engine].model.held());
+                        self.post(Event::Held { home, engine, requested_at, streams }, coverage);
                     }
                 } else {
                     // The plain service holds no memory between calls.
@@ -402,7 +402,7 @@
         if !self.engines[victim].alive {
             return;
         }
-        coverage.engine_deaths += 1;
+        coverage.engine_crashes += 1;
         self.log(|| format!("engine {victim} crashes"));
         let readers: Vec<_> = self.engines[victim].readers.clone().into_iter().collect();
         self.engines[victim].crash();
@@ -414,7 +414,7 @@
 
     /// Crashes the home or cuts it off. The other home takes over with an empty ledger.
     pub fn crash_home(&mut self, coverage: &mut Coverage) {
-        coverage.home_deaths += 1;
+        coverage.home_crashes += 1;
         let old = self.home;
         self.home = 1 - old;
         self.log(|| format!("home {old} crashes"));
@@ -428,8 +428,8 @@
             let waits = self.requests[number].grant.is_none();
             let attempt = self.requests[number].lifecycle.attempt().cloned();
             if let Some(attempt) = attempt.filter(|_| waits) {
-                let lost = Event::HomeUnreachable { request: number, attempt };
-                self.schedule(Duration::from_millis(800), lost);
+                let event = Event::HomeUnreachable { request: number, attempt };
+                self.schedule(Duration::from_millis(800), event);
             }
         }
     }
--- a/crates/request/tests/world/requests.rs
+++ b/crates/request/tests/world/requests.rs
@@ -25,7 +25,7 @@
     pub epoch: u64,
     pub prompt: Option<PromptBody>,
     pub body: String,
-    pub tokens: u64,
+    pub prompt_tokens: u64,
     pub answer_tokens: u64,
     pub key: Option<CallerKey>,
     pub nonce: AttemptId,
@@ -137,7 +137,7 @@
             lifecycle: RequestLifecycle::new(plan, first),
             entry,
             epoch: self.entry_epochs[entry],
-            tokens: prompt.as_ref().map_or(1, |prompt| prompt.tokens().0),
+            prompt_tokens: prompt.as_ref().map_or(1, |prompt| prompt.tokens().0),
             prompt,
             body,
             answer_tokens,
@@ -187,7 +187,7 @@
                     entry: entry_name(request.entry),
                     account: account(),
                     target,
-                    prompt: TokenCount(request.tokens),
+                    prompt: TokenCount(request.prompt_tokens),
                     answer: TokenCount(request.answer_tokens),
                     priority: RequestPriority::Normal,
                     patience: request.deadline.since(self.now),
@@ -210,14 +210,14 @@
             }
             RequestCommand::Release(attempt, reason) => {
                 self.requests[number].grant = None;
-                let asked = self.requests[number].home.take().unwrap_or(self.home);
+                let requested_home = self.requests[number].home.take().unwrap_or(self.home);
                 let present = self.home;
                 self.post(
                     Event::Release { home: present, attempt: attempt.clone(), reason },
                     coverage,
                 );
-                if asked != present {
-                    self.post(Event::Release { home: asked, attempt, reason }, coverage);
+                if requested_home != present {
+                    self.post(Event::Release { home: requested_home, attempt, reason }, coverage);
                 }
             }
             RequestCommand::Cancel(attempt, members) => {
@@ -327,7 +327,7 @@
     /// joins again with a new epoch.
     pub fn crash_entry(&mut self, coverage: &mut Coverage) {
         let entry = self.random.random_range(0..ENTRIES);
-        coverage.entry_deaths += 1;
+        coverage.entry_crashes += 1;
         self.log(|| format!("entry {entry} crashes"));
         let epoch = LeaseEpoch(self.entry_epochs[entry]);
         for number in 0..self.requests.len() {
