--- a/crates/cli/src/commands/explain.rs
+++ b/crates/cli/src/commands/explain.rs
@@ -8,8 +8,8 @@
 
 use super::log_lines::{LogLine, read_logs};
 
-/// Time before the first event of a request from which on events of its endpoints are shown, in
-/// seconds. Other requests often meet the same fault shortly before.
+/// Events of a request's endpoints are shown from this number of seconds before the first event of
+/// the request. Other requests often meet the same fault shortly before.
 const ENDPOINT_EVENTS_LEAD_S: f64 = 3.0;
 
 /// Events that change the state of a gateway or its view of the system.
--- a/crates/schema/src/operator.rs
+++ b/crates/schema/src/operator.rs
@@ -340,11 +340,11 @@
     pub endpoint: EndpointId,
     /// The state of the endpoint.
     pub state: EndpointState,
-    /// The memory that the home has granted, according to its ledger of leases.
+    /// The memory that the home's ledger records as held.
     pub held: TokenCount,
     /// The total memory of the endpoint.
     pub memory: TokenCount,
-    /// The memory that the endpoint reports as held without a matching lease in the ledger.
+    /// The memory of streams that the endpoint lists and the home's ledger does not contain.
     pub unexplained: TokenCount,
 }
 
