--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -40,8 +40,8 @@
 /// a restart of a few seconds at the required rate of changes.
 const TRAILING_ENTRIES: u64 = 1_024;
 
-/// The capacity of the ring for chores, which the home passes to the `control` thread.
-const CHORE_RING_CAPACITY: usize = 4_096;
+/// The capacity of the ring through which the home passes background tasks to the `control` thread.
+const TASK_RING_CAPACITY: usize = 4_096;
 
 /// The maximum number of connections on the operators' and on the endpoints' listener, each.
 const MAX_CONTROL_CONNECTIONS: usize = 4_096;
@@ -172,8 +172,8 @@
             })?);
             timer.subscribe_every(LOG_TICK_INTERVAL, move || handle.tick());
         }
-        let (chores, chore_inputs) = tokio::sync::mpsc::channel(CHORE_RING_CAPACITY);
-        threads.push(start_home(&shared, home_inputs, chores)?);
+        let (home_tasks, home_task_inputs) = tokio::sync::mpsc::channel(TASK_RING_CAPACITY);
+        threads.push(start_home(&shared, home_inputs, home_tasks)?);
         let home = shared.home.clone();
         timer.subscribe_every(HOME_TICK_INTERVAL, move || home.tick());
         threads.push(start_peers(&shared, listeners.peers, peer_commands, key, faults.clone())?);
@@ -182,7 +182,7 @@
             &shared,
             listeners.operators,
             listeners.endpoints,
-            chore_inputs,
+            home_task_inputs,
         )?);
         let callers = start_callers(&shared, listeners.callers)?;
         Ok(Self { shared, callers: Some(callers), threads, faults })
@@ -352,7 +352,7 @@
     shared: &Arc<DaemonShared>,
     operators: StdListener,
     endpoints: StdListener,
-    chores: tokio::sync::mpsc::Receiver<crate::home::HomeTask>,
+    home_tasks: tokio::sync::mpsc::Receiver<crate::home::HomeTask>,
 ) -> io::Result<JoinHandle<()>> {
     operators.set_nonblocking(true)?;
     endpoints.set_nonblocking(true)?;
@@ -367,7 +367,7 @@
         tokio::join!(
             http::serve(operators, operator_router, MAX_CONTROL_CONNECTIONS),
             http::serve(endpoints, endpoint_router, MAX_CONTROL_CONNECTIONS),
-            run_home_tasks(shared, chores),
+            run_home_tasks(shared, home_tasks),
         );
     })
 }
--- a/crates/daemon/src/entry/client.rs
+++ b/crates/daemon/src/entry/client.rs
@@ -110,7 +110,7 @@
         let _ = tokio::time::timeout(timeout, self.pooled.request(request)).await;
     }
 
-    /// Queries the streams that hold memory on an endpoint; `None` on an error or a time-out.
+    /// Queries the streams that hold memory on an endpoint; `None` on an error or a timeout.
     pub(crate) async fn held(
         &self,
         address: SocketAddr,
--- a/crates/daemon/src/home/mod.rs
+++ b/crates/daemon/src/home/mod.rs
@@ -43,14 +43,14 @@
     Stop,
 }
 
-/// A handle that sends inputs to the home's thread.
+/// Sends inputs to the home's thread.
 #[derive(Clone)]
 pub(crate) struct HomeHandle {
     ring: Sender<HomeInput>,
 }
 
 impl HomeHandle {
-    /// Creates the handle and the receiver of the ring.
+    /// Creates the handle and the receiving end of its ring.
     pub(crate) fn new() -> (Self, Receiver<HomeInput>) {
         let (ring, inputs) = bounded(RING_CAPACITY);
         (Self { ring }, inputs)
--- a/crates/daemon/src/home/tasks.rs
+++ b/crates/daemon/src/home/tasks.rs
@@ -28,7 +28,7 @@
     Publish(HomeDigest),
 }
 
-/// Runs tasks until the sender of the channel is dropped.
+/// Runs tasks until the sending end of the ring is dropped.
 pub(crate) async fn run_home_tasks(shared: Arc<DaemonShared>, mut tasks: mpsc::Receiver<HomeTask>) {
     while let Some(task) = tasks.recv().await {
         let shared = Arc::clone(&shared);
--- a/crates/daemon/src/home/thread.rs
+++ b/crates/daemon/src/home/thread.rs
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Submits a background task. A task that finds the channel full is dropped: the scheduler
+    /// Submits a background task. A task that finds the ring full is dropped, because the scheduler
     /// repeats commands that are not confirmed.
     fn submit_task(&self, shared: &DaemonShared, task: HomeTask) {
         if self.tasks.try_send(task).is_err() {
