--- a/crates/experiment/examples/placement.rs
+++ b/crates/experiment/examples/placement.rs
@@ -33,10 +33,17 @@
         )
         .argument::<PathBuf>("FILE")
         .optional();
-    let engines = long("engines").help("Number of engines").argument("N").fallback(14);
-    let grown = long("grown").help("Simulate the grown deployment, which has 45 engines").switch();
+    let engines = long("engines")
+        .help("Number of engines, to which the arrival rates are scaled")
+        .argument("N")
+        .fallback(14);
+    let grown = long("grown")
+        .help("Simulate the grown deployment, whose rates are given for 45 engines")
+        .switch();
     let further = long("further")
-        .help("Simulate the deployment with more long prompts, which has 18 engines")
+        .help(
+            "Simulate the deployment with more long prompts, whose rates are given for 18 engines",
+        )
         .switch();
     construct!(PlacementOptions { seeds, loads, json, trace, engines, grown, further })
         .to_options()
@@ -109,7 +116,8 @@
     }
 }
 
-/// Formats the mean number of late and lost prompts for each second of the day.
+/// Formats the number of late and lost prompts by the second of their arrival, as a mean over the
+/// days. Refused prompts are left out.
 fn late_or_lost_by_second(plan: &DayPlan, days: &[DayResult], class: usize) -> String {
     let mut counts = vec![0.0; plan.seconds as usize + 1];
     for at in days.iter().flat_map(|day| &day.classes[class].late_or_lost_at_s) {
--- a/crates/experiment/src/farm.rs
+++ b/crates/experiment/src/farm.rs
@@ -183,7 +183,8 @@
         self.running_steps.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// Ends the earliest running step and starts the next step of the same engine.
+    /// Ends the earliest running step, starts the next step of the same engine and returns the
+    /// events of the ended step.
     pub fn advance(&mut self) -> Vec<FarmEvent> {
         let Some(((now, engine), events)) = self.running_steps.pop_first() else {
             return Vec::new();
--- a/crates/experiment/src/fleet_day.rs
+++ b/crates/experiment/src/fleet_day.rs
@@ -136,8 +136,8 @@
         Self { name, engines, profile, classes, surges: surges(), seconds: 34.0, load }
     }
 
-    /// Returns a day of a deployment with more, but shorter, long prompts than the others, on
-    /// engines with half of the memory.
+    /// Returns a day of a deployment whose long prompts are more frequent and shorter than in the
+    /// others, on engines with half of the memory.
     pub fn further(name: &'static str, engines: usize, load: f64) -> Self {
         let scale = engines as f64 / FURTHER_ENGINE_COUNT;
         let short = PromptClass {
@@ -172,7 +172,7 @@
         Self { name, engines, profile, classes, surges: surges(), seconds: 34.0, load }
     }
 
-    /// Returns a day of the same users' deployment when grown.
+    /// Returns a day of the deployment of [`DayPlan::present`] after it has grown.
     pub fn grown(name: &'static str, engines: usize, load: f64) -> Self {
         let scale = engines as f64 / GROWN_ENGINE_COUNT;
         let classes = vec![
@@ -185,10 +185,12 @@
     }
 }
 
-/// Number of engines in the deployments of Agência. The arrival rates are given for these numbers
-/// and scale with the number of engines.
+/// Number of engines in the present deployment of Agência. The arrival rates of each deployment are
+/// given for its number of engines and scale with the number of engines.
 const PRESENT_ENGINE_COUNT: f64 = 14.0;
+/// Number of engines in the grown deployment of Agência.
 const GROWN_ENGINE_COUNT: f64 = 45.0;
+/// Number of engines in the deployment of Agência with more long prompts.
 const FURTHER_ENGINE_COUNT: f64 = 18.0;
 
 fn engine_profile(slots: u32, memory_tokens: u64, steps_per_pass: u32) -> EngineProfile {
--- a/crates/experiment/src/fleet_run.rs
+++ b/crates/experiment/src/fleet_run.rs
@@ -38,13 +38,15 @@
     pub late_first: u32,
     /// Prompts with a first event on time and a pause above the objective.
     pub late_pause: u32,
-    /// Prompts that were refused, cancelled by the caller or answered after the deadline.
+    /// Prompts that were refused twice, refused by their engines, cancelled by the caller or
+    /// answered after the deadline.
     pub lost: u32,
     /// Worth earned, and the worth of answering all prompts on time.
     pub worth: (f64, f64),
     /// Predicted and actual times to the first event, in milliseconds.
     pub first_ms: Vec<(f64, f64)>,
-    /// Arrival times of the prompts that were late or lost, in seconds.
+    /// Arrival times of the placed prompts that were late or lost, in seconds. Refused prompts are
+    /// left out.
     pub late_or_lost_at_s: Vec<f64>,
 }
 
