--- a/crates/standin/src/caller.rs
+++ b/crates/standin/src/caller.rs
@@ -77,7 +77,7 @@
         Self { client: client(), key: key.to_owned() }
     }
 
-    /// Fetches the addresses that callers can use from a daemon.
+    /// Asks a daemon for the addresses that callers can use.
     ///
     /// # Errors
     ///
--- a/crates/standin/src/engine_model.rs
+++ b/crates/standin/src/engine_model.rs
@@ -165,7 +165,7 @@
         if !self.config.models.contains(&call.model) {
             return Err(format!("model {} is not loaded", call.model));
         }
-        self.reserve(&call.attempt, call.reserved)?;
+        self.check_reservation(&call.attempt, call.reserved)?;
         let prompt_tokens = call.prompt.tokens().0;
         let prefix = prefix_hashes(&call.prompt);
         let cached = (self.cache.hits(&prefix) * PREFIX_BLOCK_TOKENS) as u64;
@@ -198,12 +198,12 @@
     ///
     /// Returns a message when the free memory is insufficient or the attempt is already present.
     pub fn hold_part(&mut self, call: &PartCall) -> Result<(), String> {
-        self.reserve(&call.attempt, call.reserved)?;
+        self.check_reservation(&call.attempt, call.reserved)?;
         self.parts.insert(call.attempt.clone(), call.reserved);
         Ok(())
     }
 
-    fn reserve(&self, attempt: &AttemptId, need: TokenCount) -> Result<(), String> {
+    fn check_reservation(&self, attempt: &AttemptId, need: TokenCount) -> Result<(), String> {
         let is_present = self.streams.iter().any(|s| s.attempt == *attempt);
         if is_present || self.parts.contains_key(attempt) {
             return Err(format!("attempt {attempt} is already present"));
