--- a/crates/testbed/examples/mutations.rs
+++ b/crates/testbed/examples/mutations.rs
@@ -12,8 +12,8 @@
 use eyre::{Result, WrapErr, bail, ensure};
 use serde_json::Value;
 
-/// Number of seeds of the randomised tests. Some mutations cause a failure only under
-/// rare interleavings.
+/// Number of seeds of the randomised tests. Some mutations cause a failure only under rare
+/// interleavings.
 const SEED_COUNT: &str = "3000";
 
 fn main() -> Result<()> {
--- a/crates/testbed/examples/soak.rs
+++ b/crates/testbed/examples/soak.rs
@@ -57,7 +57,12 @@
             CallerError::Wrong(detail) => (&self.incorrect, format!("INCORRECT: {detail:.40}")),
         };
         counter.fetch_add(1, Ordering::SeqCst);
-        *self.reasons.lock().expect("no panic with the lock").entry(reason).or_default() += 1;
+        *self
+            .reasons
+            .lock()
+            .expect("no task panics while it holds the lock")
+            .entry(reason)
+            .or_default() += 1;
     }
 }
 
@@ -157,10 +162,12 @@
         outcomes.confirmed_unknown.load(Ordering::SeqCst),
         outcomes.confirmed_not_run.load(Ordering::SeqCst),
     );
-    for (reason, count) in outcomes.reasons.lock().expect("no panic with the lock").iter() {
+    for (reason, count) in
+        outcomes.reasons.lock().expect("no task panics while it holds the lock").iter()
+    {
         println!("  {count} x {reason}");
     }
-    println!("{}", outcomes.first_token.lock().expect("no panic with the lock"));
+    println!("{}", outcomes.first_token.lock().expect("no task panics while it holds the lock"));
     println!(
         "resident {:.0} to {:.0} MB, descriptors {} to {} (daemons, engines and callers in one \
          process)\n",
@@ -242,7 +249,8 @@
             Ok(reply) => {
                 outcomes.completed.fetch_add(1, Ordering::SeqCst);
                 outcomes.tokens.fetch_add(reply.tokens + tokens as u64, Ordering::SeqCst);
-                let mut table = outcomes.first_token.lock().expect("no panic with the lock");
+                let mut table =
+                    outcomes.first_token.lock().expect("no task panics while it holds the lock");
                 table.record(class, reply.first_token);
             }
             Err(error) => {
@@ -254,8 +262,8 @@
     }
 }
 
-/// Sends confirmations while the flag is set. Resends each through other daemons, up to 39 times,
-/// until its outcome is known.
+/// Sends confirmations, service calls that must not run twice, while the flag is set. Resends each
+/// confirmation through other daemons, up to 39 times, until its outcome is known.
 async fn send_confirmations(
     worker: usize,
     with_crashes: bool,
@@ -290,7 +298,8 @@
         match last_answer {
             Some(Ok(_)) => outcomes.confirmed.fetch_add(1, Ordering::SeqCst),
             Some(Err(CallerError::Api(error))) if error.ran == RanState::No => {
-                let mut not_run = outcomes.not_run.lock().expect("no panic with the lock");
+                let mut not_run =
+                    outcomes.not_run.lock().expect("no task panics while it holds the lock");
                 not_run.insert(key, body);
                 outcomes.confirmed_not_run.fetch_add(1, Ordering::SeqCst)
             }
@@ -313,7 +322,7 @@
         println!("DUPLICATE RUN of {body}: {}", attempts.join(", "));
     }
     let duplicated = duplicated.len();
-    let not_run = outcomes.not_run.lock().expect("no panic with the lock").clone();
+    let not_run = outcomes.not_run.lock().expect("no task panics while it holds the lock").clone();
     let false_not_run = not_run.values().filter(|body| runs.contains_key(*body)).count();
     let incorrect = outcomes.incorrect.load(Ordering::SeqCst);
     let mut held = u64::MAX;
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -198,7 +198,7 @@
                 }
             }
             if live >= expected && self.running().all(|n| self.daemon(n).is_ready()) {
-                // Every daemon receives the digests of the homes shortly afterwards.
+                // The daemons receive the digests of the homes shortly afterwards.
                 tokio::time::sleep(Duration::from_millis(500)).await;
                 return Ok(());
             }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,5 +1,6 @@
 //! Runs complete deployments in one process for tests and benchmarks: daemons in several data
-//! centres, stand-in engines and services, operators and callers, all on loopback. Not shipped.
+//! centres, stand-in engines and services, operators and callers, all on loopback. The crate
+//! is not shipped.
 //!
 //! [`Fleet`] starts a deployment on free ports with its own data folders. [`OperatorClient`] calls
 //! the operators' API. [`DaemonProcess`] runs one daemon as a separate process. [`LatencyTable`]
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -12,13 +12,14 @@
 
 use crate::ROOT_KEY;
 
-/// Clock ticks per second of processor time in `/proc/<pid>/stat`.
+/// Clock ticks per second of the processor times in `/proc/<pid>/stat`. The kernel reports the
+/// times of every process in this unit.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Resource usage of a process since its start.
+/// Resource usage of a process.
 #[derive(Debug, Clone, Copy)]
 pub struct ProcessUsage {
-    /// Processor time in user and kernel mode.
+    /// Processor time in user and kernel mode since the start of the process.
     pub cpu: Duration,
     /// Current resident memory in bytes.
     pub resident: u64,
@@ -33,7 +34,7 @@
 /// Returns an error when the process does not exist.
 pub fn process_usage(pid: u32) -> Result<ProcessUsage> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
-    // The command name in parentheses may contain spaces, so the fields after it are split.
+    // The command name in parentheses may contain spaces, so only the fields after it are split.
     let fields: Vec<&str> =
         stat.rsplit_once(')').map_or("", |(_, rest)| rest).split_whitespace().collect();
     let ticks = |field: usize| fields.get(field).and_then(|text| text.parse::<f64>().ok());
@@ -100,7 +101,7 @@
         Ok(Self { child, callers, operators, endpoints, _folder: folder })
     }
 
-    /// Returns the resource usage of the daemon since its start.
+    /// Returns the resource usage of the daemon.
     ///
     /// # Errors
     ///
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,4 +1,4 @@
-//! Prints tables and bar charts of latencies by prompt length class.
+//! Prints tables and bar charts of latencies by prompt length class, and generates prompts.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Write};
@@ -41,8 +41,10 @@
         let histogram = self.rows.entry(row.to_owned()).or_insert_with(|| {
             Histogram::new_with_bounds(1, 86_400_000_000, 3).expect("valid bounds")
         });
-        let micros = u64::try_from(latency.as_micros()).expect("below a day").max(1);
-        histogram.record(micros).expect("below a day");
+        let micros = u64::try_from(latency.as_micros())
+            .expect("the latency is within the histogram's bound of one day")
+            .max(1);
+        histogram.record(micros).expect("the latency is within the histogram's bound of one day");
     }
 
     /// Returns a quantile of a row in milliseconds, or `None` when the row has no samples.
--- a/crates/testbed/tests/failures.rs
+++ b/crates/testbed/tests/failures.rs
@@ -38,9 +38,9 @@
     TestCaller::new(&account_key(0))
 }
 
-async fn leader_of(fleet: &Fleet, ask: usize) -> usize {
+async fn leader_of(fleet: &Fleet, through: usize) -> usize {
     for _ in 0..400 {
-        let status = fleet.operator.status(fleet.operators(ask)).await;
+        let status = fleet.operator.status(fleet.operators(through)).await;
         let leader = status.ok().and_then(|status| status.leader);
         if let Some(number) = leader.and_then(|leader| daemon_number(fleet, &leader)) {
             return number;
@@ -252,13 +252,13 @@
     fleet.operator.put(daemon, "d-1", "one", 0, model(1)).await.expect("accepted");
     let first = (leader + 1) % 5;
     fleet.kill(first).await.expect("killed");
-    fleet.delete_data_folder(first).expect("lost");
+    fleet.delete_data_folder(first).expect("deleted");
     fleet.operator.put(daemon, "d-2", "two", 0, model(1)).await.expect("accepted");
     fleet.restart(first).await.expect("restarted");
     // The second disk is lost without waiting for the first voter to catch up.
     let second = (leader + 2) % 5;
     fleet.kill(second).await.expect("killed");
-    fleet.delete_data_folder(second).expect("lost");
+    fleet.delete_data_folder(second).expect("deleted");
     fleet.operator.put(daemon, "d-3", "three", 0, model(1)).await.expect("accepted");
     fleet.restart(second).await.expect("restarted");
     let answer = fleet.operator.put(daemon, "d-4", "four", 0, model(1)).await.expect("accepted");
@@ -277,8 +277,8 @@
     let plan =
         FleetPlan { daemons_per_data_centre: 2, engines: 0, services: 0, ..FleetPlan::default() };
     let mut fleet = Fleet::start(plan).await.expect("a fleet");
-    let before = fleet.operators(5);
-    fleet.operator.put(before, "v-1", "one", 0, model(1)).await.expect("accepted");
+    let daemon = fleet.operators(5);
+    fleet.operator.put(daemon, "v-1", "one", 0, model(1)).await.expect("accepted");
     // Voter 2 fails permanently. Daemon 3, which had no disk before, replaces it.
     fleet.kill(2).await.expect("killed");
     fleet.kill(3).await.expect("killed");
@@ -296,7 +296,7 @@
     let body = serde_json::json!({ "wanted": wanted }).to_string();
     let mut answer = String::new();
     for _ in 0..200 {
-        let sent = fleet.operator.call(before, "POST", "/v1/voters", body.clone()).await;
+        let sent = fleet.operator.call(daemon, "POST", "/v1/voters", body.clone()).await;
         let done = sent.as_ref().is_ok_and(|answer| answer.status == 200);
         answer = sent.map_or_else(|error| error.to_string(), |answer| answer.body);
         if done {
@@ -312,7 +312,7 @@
     };
     let mut last = None;
     for _ in 0..400 {
-        last = fleet.operator.status(before).await.ok();
+        last = fleet.operator.status(daemon).await.ok();
         if last.as_ref().is_some_and(settled) {
             break;
         }
@@ -320,7 +320,7 @@
     }
     assert!(last.as_ref().is_some_and(settled), "{last:?}");
     fleet.kill(0).await.expect("killed");
-    let answer = fleet.operator.put(before, "v-2", "two", 0, model(1)).await.expect("accepted");
+    let answer = fleet.operator.put(daemon, "v-2", "two", 0, model(1)).await.expect("accepted");
     for number in [1, 3, 4, 5] {
         let list = wait_revision(&fleet, number, answer.config_revision).await;
         let wanted: BTreeSet<String> = ["one", "two"].map(str::to_owned).into();
@@ -328,8 +328,9 @@
     }
 }
 
-// Guards against an outage of prompts, which need no quorum, and against confirmations that run
-// although the caller is told that they did not.
+// Guards against prompts that fail without a quorum, which they do not need, and against
+// confirmations (service calls that must not run twice) that run although the caller is told that
+// they did not.
 #[tokio::test(flavor = "multi_thread")]
 async fn without_a_quorum_prompts_are_served_and_confirmations_are_refused_as_not_run() {
     let _guard = FLEET_LOCK.lock().await;
--- a/crates/testbed/tests/whole_path.rs
+++ b/crates/testbed/tests/whole_path.rs
@@ -141,22 +141,22 @@
         unstreamed["choices"][0]["message"]["content"].as_str().expect("a message").to_owned();
     assert_eq!(unstreamed["choices"][0]["finish_reason"], "stop");
     let stream = call(true).await.body;
-    let pieces: Vec<serde_json::Value> = stream
+    let chunks: Vec<serde_json::Value> = stream
         .lines()
         .filter_map(|line| line.strip_prefix("data: "))
         .filter(|data| *data != "[DONE]")
         .map(|data| serde_json::from_str(data).expect("JSON"))
         .collect();
-    let joined: String = pieces
+    let joined: String = chunks
         .iter()
-        .filter_map(|piece| piece["choices"][0]["delta"]["content"].as_str())
+        .filter_map(|chunk| chunk["choices"][0]["delta"]["content"].as_str())
         .collect();
     assert_eq!(joined, text, "the stand-in answers the same prompt alike, streamed or not");
     assert!(stream.trim_end().ends_with("data: [DONE]"));
 }
 
 // Guards against an engine fault that reaches the caller as a complete answer: foreign, duplicate
-// or missing pieces, broken streams and refusals.
+// or missing tokens, broken streams and refusals.
 #[tokio::test(flavor = "multi_thread")]
 async fn corrupted_answers_are_never_reported_as_complete() {
     let _guard = FLEET_LOCK.lock().await;
@@ -166,14 +166,14 @@
         |fault: fn(&oriolepass_standin::FaultPlan) -> &std::sync::atomic::AtomicU64| {
             fleet.engines.iter().for_each(|e| fault(e.faults()).store(1, Ordering::SeqCst));
         };
-    // Pieces with the id of another attempt and duplicate pieces are dropped, and the answer is
+    // Tokens with the id of another attempt and duplicate tokens are dropped, and the answer is
     // complete.
     inject_in_all(|f| &f.wrong_attempt_id);
     inject_in_all(|f| &f.duplicate_token);
     for seed in 10..16 {
         complete(&fleet, &call(seed, 500, 20)).await.expect("a complete answer");
     }
-    // A missing last piece is detected at the end of the stream, and the request fails.
+    // A missing last token is detected at the end of the stream, and the request fails.
     inject_in_all(|f| &f.truncate);
     let error = api_error(complete(&fleet, &call(20, 500, 20)).await);
     assert_eq!((error.code, error.ran), (ErrorCode::EndpointFailed, RanState::Yes));
@@ -263,8 +263,8 @@
     assert_eq!(leaving_engine.run_counts().0, before, "the leaving engine got new requests");
 }
 
-// Guards against a confirmation that runs twice when it is sent several times, at the same time or
-// later, through different daemons.
+// Guards against a confirmation (a service call that must not run twice) that runs twice when it is
+// sent several times, at the same time or later, through different daemons.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_confirmation_runs_once_despite_resends() {
     let _guard = FLEET_LOCK.lock().await;
